--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -21,6 +21,6 @@
 kill -TERM "$sidecar" 2>/dev/null
 wait "$sidecar"
 java -Xshare:dump -XX:+UseSerialGC -XX:SharedClassListFile="$classes" -XX:SharedArchiveFile="$archive" \
-    -cp target/rushproxy.jar >target/archive.log 2>&1
+    -cp target/load-balancer-sidecar.jar >target/archive.log 2>&1
 [ -f "$archive" ] || echo "no class archive for the sidecar: it will start slower" >&2
 exit 0
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/EndpointState.java
@@ -0,0 +1,8 @@
+package loadbalancer.decision;
+
+/** What the list says of an upstream. */
+public enum EndpointState {
+    GONE,
+    READY,
+    DRAINING
+}
--- a/src/main/java/rushproxy/PeerMessage.java
+++ b/src/main/java/loadbalancer/decision/GossipMessage.java
@@ -1,9 +1,9 @@
-package rushproxy;
+package loadbalancer.decision;
 
 import java.nio.ByteBuffer;
 
-/** What one sidecar tells another, and its bytes: plain data, used by {@link Policy}. */
-final class PeerMessage {
+/** What one sidecar tells another, and its bytes: plain data, used by {@link LoadBalancingPolicy}. */
+final class GossipMessage {
     /** The sender's zone, by its number in the settings. */
     int zone;
     /** Requests a second that come to the sender. */
@@ -18,7 +18,7 @@
     /** Idle connections are dropped after about this long; 0 where nothing was seen of it. */
     long idleLimitUs;
 
-    PeerMessage(int kinds) {
+    GossipMessage(int kinds) {
         slow = new double[kinds];
         cores = new double[kinds];
         answers = new int[kinds];
--- a/src/main/java/rushproxy/Table.java
+++ b/src/main/java/loadbalancer/decision/WeightedSampler.java
@@ -1,19 +1,19 @@
-package rushproxy;
+package loadbalancer.decision;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 
 /** Servers to draw from, with their shares summed up: one draw is one search. */
-final class Table {
-    private final List<State.Server> servers = new ArrayList<>();
+final class WeightedSampler {
+    private final List<PolicyState.Server> servers = new ArrayList<>();
     private double[] upTo = new double[16];
 
     void clear() {
         servers.clear();
     }
 
-    void add(State.Server s) {
+    void add(PolicyState.Server s) {
         int n = servers.size();
         if (n == upTo.length) upTo = Arrays.copyOf(upTo, 2 * n);
         upTo[n] = s.share + (n > 0 ? upTo[n - 1] : 0);
@@ -24,12 +24,12 @@
         return servers.size();
     }
 
-    State.Server get(int i) {
+    PolicyState.Server get(int i) {
         return servers.get(i);
     }
 
     /** The server at {@code x} of [0, 1) of the summed shares. */
-    State.Server draw(double x) {
+    PolicyState.Server draw(double x) {
         int n = servers.size();
         int i = Arrays.binarySearch(upTo, 0, n, x * upTo[n - 1]);
         return servers.get(Math.min(n - 1, i < 0 ? -i - 1 : i + 1));
--- a/src/main/java/rushproxy/wire/LoadValues.java
+++ b/src/main/java/loadbalancer/input/LoadReportFields.java
@@ -1,9 +1,9 @@
-package rushproxy.wire;
+package loadbalancer.input;
 
-import rushproxy.Balancer.LoadReport;
+import loadbalancer.decision.LoadReport;
 
 /** Gathers the named values of one load report, whichever of their two names they come under. */
-public final class LoadValues {
+public final class LoadReportFields {
     private double inFlight = -1;
     private double queued = -1;
     private double utilisation = -1;
--- a/src/main/java/rushproxy/wire/SettingsReader.java
+++ b/src/main/java/loadbalancer/input/SettingsReader.java
@@ -1,19 +1,18 @@
-package rushproxy.wire;
+package loadbalancer.input;
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rushproxy.Balancer.Group;
-import rushproxy.Balancer.Limits;
-import rushproxy.Balancer.Prices;
-import rushproxy.Balancer.Reports;
-import rushproxy.Balancer.RequestClass;
-import rushproxy.Balancer.Rules;
-import rushproxy.Balancer.Semantics;
-import rushproxy.Balancer.Settings;
-import rushproxy.Balancer.Tenant;
+import loadbalancer.settings.DeduplicationScope;
+import loadbalancer.settings.EndpointRules;
+import loadbalancer.settings.Idempotency;
+import loadbalancer.settings.LoadBalancerSettings;
+import loadbalancer.settings.LoadReporting;
+import loadbalancer.settings.RequestClass;
+import loadbalancer.settings.RequestLimits;
+import loadbalancer.settings.Tenant;
+import loadbalancer.settings.UsagePrices;
 
 /**
  * Turns path=value pairs, those of {@code ENLIST} or of a sidecar's configuration, into settings. Unknown paths are
@@ -27,19 +26,7 @@
         this.values = values;
     }
 
-    SettingsReader(Fields fields) {
-        this(new HashMap<>());
-        while (fields.more()) {
-            String pair = fields.text();
-            int equals = pair.indexOf('=');
-            if (equals <= 0) {
-                throw new WireException("setting '" + pair + "' is not of the form path=value");
-            }
-            values.put(pair.substring(0, equals), pair.substring(equals + 1));
-        }
-    }
-
-    public Settings read() {
+    public LoadBalancerSettings read() {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < (int) need("profiles.count"); i++) {
             String p = "profiles." + i + ".";
@@ -60,7 +47,7 @@
             String p = "accounts." + i + ".";
             tenants.add(new Tenant(word(p + "name"), real(p + "share", 0), real(p + "quota_rps", 0)));
         }
-        Limits limits = new Limits(
+        RequestLimits limits = new RequestLimits(
                 (int) real("limits.max_attempts", 1),
                 flag("limits.second_copies", false),
                 flag("limits.cancelling", false),
@@ -71,7 +58,7 @@
                 (long) real("limits.conn_idle_us", 15_000_000),
                 (long) real("limits.dial_timeout_us", 250_000),
                 real("limits.cpu_us_per_request", 0));
-        Rules rules = new Rules(
+        EndpointRules rules = new EndpointRules(
                 (long) need("rules.drain_grace_us"),
                 need("rules.cold_share"),
                 (long) need("rules.ramp_time_us"),
@@ -80,13 +67,13 @@
                 (long) real("rules.ask_every_us", 0),
                 (long) real("rules.answer_slack_us", 0),
                 (long) real("rules.close_on_drain_within_us", 0));
-        Prices prices = new Prices(
+        UsagePrices prices = new UsagePrices(
                 real("tariffs.cross_zone", 0),
                 real("tariffs.peer", 0),
                 real("tariffs.probe", 0),
                 real("tariffs.connection", 0),
                 real("tariffs.handshake", 0));
-        return new Settings(
+        return new LoadBalancerSettings(
                 (int) need("me"),
                 (int) need("balancers"),
                 word("zone"),
@@ -104,14 +91,15 @@
                 (long) real("period_us", 1000));
     }
 
-    List<String> reportFields() {
+    /** Names of the values of a load report, in the order in which a report has them. */
+    public List<String> reportFields() {
         return Arrays.asList(values.getOrDefault("load_info.fields", "").split(","));
     }
 
     private String word(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw new WireException("setting '" + path + "' is missing");
+            throw new InvalidSettingsException("setting '" + path + "' is missing");
         }
         return value;
     }
@@ -129,7 +117,7 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new WireException("setting '" + path + "' is no number: '" + value + "'");
+            throw new InvalidSettingsException("setting '" + path + "' is no number: '" + value + "'");
         }
     }
 
@@ -138,29 +126,29 @@
         return value == null ? absent : value.equals("true") || value.equals("1");
     }
 
-    private static Semantics semantics(String word) {
+    private static Idempotency semantics(String word) {
         return switch (word) {
-            case "safe" -> Semantics.SAFE;
-            case "keyed" -> Semantics.KEYED;
-            case "unsafe" -> Semantics.UNSAFE;
-            default -> throw new WireException("semantics '" + word + "' is unknown");
+            case "safe" -> Idempotency.SAFE;
+            case "keyed" -> Idempotency.KEYED;
+            case "unsafe" -> Idempotency.UNSAFE;
+            default -> throw new InvalidSettingsException("semantics '" + word + "' is unknown");
         };
     }
 
-    private static Group group(String word) {
+    private static DeduplicationScope group(String word) {
         return switch (word) {
-            case "all", "-" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
-            default -> throw new WireException("group '" + word + "' is unknown");
+            case "all", "-" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
+            default -> throw new InvalidSettingsException("group '" + word + "' is unknown");
         };
     }
 
-    private static Reports reports(String word) {
+    private static LoadReporting reports(String word) {
         return switch (word) {
-            case "inline" -> Reports.INLINE;
-            case "on_probe" -> Reports.ON_PROBE;
-            default -> Reports.NONE;
+            case "inline" -> LoadReporting.INLINE;
+            case "on_probe" -> LoadReporting.ON_PROBE;
+            default -> LoadReporting.NONE;
         };
     }
 }
--- a/src/main/java/rushproxy/sidecar/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -1,9 +1,10 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.client;
 
 import io.netty.channel.ChannelConfig;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
  * The listener's backlog while descriptors are used up: accepting pauses, connections wait there unseen, and with them
@@ -13,14 +14,14 @@
     /** Netty accepts at most so many connections in one reading of a listener. */
     private static final int MOST_PER_READING = 16;
 
-    private final ReadTrackingLoop reads;
+    private final ReadTrackingEventLoop reads;
     private int accepted;
     /** Since when connections may wait; 0 where none do. */
     private long pausedUs;
     /** Since when what waits is being accepted; 0 while nothing is. */
     private long resumedUs;
 
-    AcceptBacklog(ReadTrackingLoop reads) {
+    AcceptBacklog(ReadTrackingEventLoop reads) {
         this.reads = reads;
     }
 
--- a/src/main/java/rushproxy/sidecar/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -27,9 +27,14 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Map;
-import rushproxy.Balancer.Request;
-import rushproxy.Balancer.RequestClass;
-import rushproxy.Balancer.Semantics;
+import loadbalancer.decision.Request;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.HeaderValues;
+import loadbalancer.settings.Idempotency;
+import loadbalancer.settings.RequestClass;
 
 /** One connection of the application: its requests in turn, each taken whole and answered once. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
@@ -42,7 +47,7 @@
      * What may be sent ahead of its turn. Clients of the protocol send nothing ahead; who sends more than this gets its
      * answers and an end. Reading never stops: the leaving of a client that is not read goes unnoticed.
      */
-    private static final int MOST_AHEAD_BYTES = 4 * Headers.MAX_BODY;
+    private static final int MOST_AHEAD_BYTES = 4 * HeaderNames.MAX_BODY;
     /** What a request takes beside its body. */
     private static final int OVERHEAD_BYTES = 1024;
 
@@ -53,9 +58,9 @@
     private static final long IDLE_US = 4_000_000;
 
     private final Channel channel;
-    private final ReadTrackingLoop reads;
-    private final Clock clock;
-    private final Requests requests;
+    private final ReadTrackingEventLoop reads;
+    private final MonotonicClock clock;
+    private final RequestDispatcher requests;
     private final Map<String, RequestClass> classes;
     private final ClientServer server;
     private final ArrayDeque<Arrival> ahead = new ArrayDeque<>();
@@ -64,7 +69,7 @@
     private long readingSinceUs;
 
     private long activeUs;
-    private Exchange current;
+    private RequestExchange current;
     private boolean busy;
     private boolean asked;
     /** Open between requests, and counted as such. */
@@ -87,8 +92,8 @@
 
     ClientConnection(
             Channel channel,
-            ReadTrackingLoop reads,
-            Requests requests,
+            ReadTrackingEventLoop reads,
+            RequestDispatcher requests,
             Map<String, RequestClass> classes,
             ClientServer server,
             long backlogUs) {
@@ -133,7 +138,7 @@
             end(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        boolean there = !asked && activeUs - openedUs < ReadTrackingLoop.FRESH_US;
+        boolean there = !asked && activeUs - openedUs < ReadTrackingEventLoop.FRESH_US;
         asked = true;
         // Its time counts from its last byte, which came with this read, or earlier where the loop was late to read.
         Arrival arrival = new Arrival((FullHttpRequest) message, activeUs - reads.lateUs(), there ? backlogUs : 0);
@@ -163,7 +168,7 @@
             try {
                 handle(arrival);
             } catch (RuntimeException e) {
-                Log.trouble("a handler failed", e);
+                SidecarLog.trouble("a handler failed", e);
                 if (busy) {
                     answer(arrival.message, HttpResponseStatus.INTERNAL_SERVER_ERROR);
                 }
@@ -192,9 +197,9 @@
     private void take(Arrival arrival) {
         FullHttpRequest m = arrival.message;
         HttpHeaders h = m.headers();
-        String id = word(h, Headers.TXN);
-        RequestClass lane = classes.get(word(h, Headers.CLASS));
-        long remainingMs = HeaderValues.whole(word(h, Headers.REMAINING));
+        String id = word(h, HeaderNames.TXN);
+        RequestClass lane = classes.get(word(h, HeaderNames.CLASS));
+        long remainingMs = HeaderValues.whole(word(h, HeaderNames.REMAINING));
         if (id.isEmpty() || requests.knows(id) || lane == null || remainingMs <= 0 || !fits(m, lane)) {
             // What no upstream could use is said here: there it would look like the upstream's own failure.
             write(false, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER, 0);
@@ -209,21 +214,21 @@
         Request request = new Request(
                 id,
                 key(h.get(HttpHeaderNames.COOKIE)),
-                "1".equals(h.get(Headers.RESENT)),
+                "1".equals(h.get(HeaderNames.RESENT)),
                 false,
-                Math.max(0, HeaderValues.whole(word(h, Headers.ESTIMATE))),
+                Math.max(0, HeaderValues.whole(word(h, HeaderNames.ESTIMATE))),
                 Math.max(1, deadline - clock.now()),
-                h.get(Headers.TENANT),
+                h.get(HeaderNames.TENANT),
                 lane.name());
         boolean keepAlive = HttpUtil.isKeepAlive(m);
-        current = new Exchange(
+        current = new RequestExchange(
                 request,
                 m.method(),
                 m.uri(),
-                h.get(Headers.IDEMPOTENCY_KEY),
+                h.get(HeaderNames.IDEMPOTENCY_KEY),
                 ByteBufUtil.getBytes(m.content()),
                 deadline,
-                new Exchange.Answer() {
+                new RequestExchange.Answer() {
                     @Override
                     public void served(ByteBuf body) {
                         write(keepAlive, HttpResponseStatus.OK, body, 0);
@@ -251,12 +256,12 @@
 
     /** The method follows from the class, and so does whether there is a key. */
     private static boolean fits(FullHttpRequest m, RequestClass lane) {
-        boolean safe = lane.semantics() == Semantics.SAFE;
-        boolean keyed = lane.semantics() == Semantics.KEYED;
-        List<String> keys = m.headers().getAll(Headers.IDEMPOTENCY_KEY);
+        boolean safe = lane.semantics() == Idempotency.SAFE;
+        boolean keyed = lane.semantics() == Idempotency.KEYED;
+        List<String> keys = m.headers().getAll(HeaderNames.IDEMPOTENCY_KEY);
         boolean keyFits = keys.isEmpty()
                 ? !keyed
-                : !word(m.headers(), Headers.IDEMPOTENCY_KEY).isEmpty();
+                : !word(m.headers(), HeaderNames.IDEMPOTENCY_KEY).isEmpty();
         return m.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)
                 && !(safe && m.content().isReadable())
                 && keyFits
@@ -267,7 +272,7 @@
     private static long key(String cookies) {
         if (cookies != null) {
             for (Cookie c : ServerCookieDecoder.LAX.decode(cookies)) {
-                if (c.name().equals(Headers.KEY_COOKIE)) {
+                if (c.name().equals(HeaderNames.KEY_COOKIE)) {
                     return HeaderValues.hexOrHash(c.value()) & (1L << KEY_BITS) - 1;
                 }
             }
@@ -365,7 +370,7 @@
             a.message.release();
         }
         if (current != null) {
-            Exchange gone = current;
+            RequestExchange gone = current;
             current = null;
             requests.left(gone);
         }
@@ -380,7 +385,7 @@
             end(HttpResponseStatus.BAD_REQUEST);
         } else {
             if (!(cause instanceof IOException)) {
-                Log.trouble("a client's connection failed", cause);
+                SidecarLog.trouble("a client's connection failed", cause);
             }
             ctx.close();
         }
--- a/src/main/java/rushproxy/sidecar/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.client;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -19,10 +19,15 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import rushproxy.Balancer.RequestClass;
+import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.observability.TrafficStatistics;
+import loadbalancer.settings.RequestClass;
 
 /** The application's side: listens, and says goodbye without losing what clients have sent. */
-final class ClientServer {
+public final class ClientServer {
     /** The application opens connections for this long after the stop has been asked for, and a little longer. */
     private static final long SERVE_ON_MS = 600;
     /** A connection this young or this busy may have a request on its way. */
@@ -43,10 +48,10 @@
 
     private static final long KILL_MOST_MS = 3_000;
 
-    private final ReadTrackingLoop reads;
+    private final ReadTrackingEventLoop reads;
     private final EventLoop loop;
-    private final Requests requests;
-    private final Clock clock;
+    private final RequestDispatcher requests;
+    private final MonotonicClock clock;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final BooleanSupplier canServe;
     private final int maxConnections;
@@ -55,7 +60,7 @@
     /** The most connections of clients that are kept open between requests. */
     private final int maxSpare;
 
-    private final Totals totals;
+    private final TrafficStatistics totals;
     /** No client waits longer than this for an answer. */
     private long longestUs;
 
@@ -72,15 +77,15 @@
     private int spare;
     private long acceptedUs;
 
-    ClientServer(
-            ReadTrackingLoop reads,
-            Requests requests,
+    public ClientServer(
+            ReadTrackingEventLoop reads,
+            RequestDispatcher requests,
             List<RequestClass> classes,
             BooleanSupplier canServe,
             int maxConnections,
             BooleanSupplier roomForMore,
             int maxSpare,
-            Totals totals) {
+            TrafficStatistics totals) {
         this.reads = reads;
         loop = reads.loop();
         backlog = new AcceptBacklog(reads);
@@ -97,18 +102,18 @@
     /**
      * Requests whose first attempt or answer is still to come keep the class, and the deadline, they were taken with.
      */
-    void take(List<RequestClass> known) {
+    public void take(List<RequestClass> known) {
         classes.clear();
         known.forEach(c -> classes.put(c.name(), c));
         longestUs = known.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
     }
 
     /** How many connections the application holds. */
-    int open() {
+    public int open() {
         return connections.size();
     }
 
-    InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
+    public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
         listener = new ServerBootstrap()
                 .group(loop)
                 .channelFactory(NioServerSocketChannel::new)
@@ -135,11 +140,11 @@
     }
 
     /** Not ready from now on. The first request that is taken all the same is told to {@code cut}. */
-    void notReadyBefore(Runnable cut) {
+    public void notReadyBefore(Runnable cut) {
         rehearsal = cut;
     }
 
-    void rehearsed() {
+    public void rehearsed() {
         rehearsal = null;
     }
 
@@ -184,7 +189,7 @@
                         connection.arrivals(),
                         new RequestDecoder(),
                         new HttpResponseEncoder(),
-                        new RequestBodies(connection::nothingOwed),
+                        new RequestAggregator(connection::nothingOwed),
                         connection);
     }
 
@@ -205,7 +210,7 @@
      * Some times a second: who says nothing, or only half of something, or nothing more, holds a descriptor that others
      * need.
      */
-    void sweep() {
+    public void sweep() {
         long now = clock.now();
         List.copyOf(connections).forEach(c -> c.expire(now));
         if (connections.size() >= maxConnections) {
@@ -228,11 +233,11 @@
     }
 
     /** Serves on while the application still comes, answers what is held, closes what is quiet, then says so. */
-    void stop(Runnable stopped) {
+    public void stop(Runnable stopped) {
         long now = clock.now();
         stopAtUs = now + SERVE_ON_MS * 1000;
         answerByUs = now + KILL_MS * 1000 + Math.min(KILL_MOST_MS * 1000, longestUs);
-        Log.line("a stop was asked for: " + connections.size() + " clients' connections");
+        SidecarLog.line("a stop was asked for: " + connections.size() + " clients' connections");
         look(stopped);
     }
 
@@ -241,7 +246,7 @@
         boolean[] done = new boolean[1];
         FaultBarrier.passes("a look at what is still open", () -> done[0] = closeWhatIsQuiet());
         if (done[0]) {
-            Log.line("all clients' connections are closed");
+            SidecarLog.line("all clients' connections are closed");
             stopped.run();
         } else {
             loop.schedule(() -> look(stopped), LOOK_MS, TimeUnit.MILLISECONDS);
@@ -262,7 +267,7 @@
                     && accepting
                     && (now - acceptedUs >= QUIET_MS * 1000 || now >= stopAtUs + LISTEN_ON_MS * 1000)) {
                 listener.close();
-                Log.line("listens no more: " + connections.size() + " clients' connections");
+                SidecarLog.line("listens no more: " + connections.size() + " clients' connections");
             }
             for (ClientConnection c : Set.copyOf(connections)) {
                 c.closeIfQuiet(now - QUIET_MS * 1000, now - longestUs);
--- a/src/main/java/rushproxy/sidecar/RequestBodies.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -12,16 +12,17 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import java.util.List;
 import java.util.function.BooleanSupplier;
+import loadbalancer.proxy.protocol.HeaderNames;
 
 /**
  * Puts requests together. It answers nothing by itself but an expected 100, and that only where no answer is owed on
  * the connection: its word would overtake that answer. What it can't take it throws to the connection.
  */
-final class RequestBodies extends HttpObjectAggregator {
+final class RequestAggregator extends HttpObjectAggregator {
     private final BooleanSupplier nothingOwed;
 
-    RequestBodies(BooleanSupplier nothingOwed) {
-        super(Headers.MAX_BODY);
+    RequestAggregator(BooleanSupplier nothingOwed) {
+        super(HeaderNames.MAX_BODY);
         this.nothingOwed = nothingOwed;
     }
 
@@ -46,6 +47,6 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        throw new TooLongFrameException("a body of more than " + Headers.MAX_BODY + " bytes");
+        throw new TooLongFrameException("a body of more than " + HeaderNames.MAX_BODY + " bytes");
     }
 }
--- a/src/main/java/rushproxy/sidecar/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
@@ -1,9 +1,10 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.client;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.AsciiString;
+import loadbalancer.proxy.protocol.StrictFraming;
 
 /** Takes requests apart, none of them by guess: what hides in another's body must never be taken for a request. */
 final class RequestDecoder extends HttpRequestDecoder {
@@ -13,12 +14,12 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw Framing.twoFramings();
+        throw StrictFraming.twoFramings();
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        Framing.checkName(line, start, length);
+        StrictFraming.checkName(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 }
--- a/src/main/java/rushproxy/sidecar/Exchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -1,13 +1,14 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
 import java.util.List;
-import rushproxy.Balancer.Request;
+import loadbalancer.decision.Request;
+import loadbalancer.proxy.upstream.UpstreamCall;
 
 /** One request, from its last byte read to its one final answer and the end of its last attempt. */
-final class Exchange {
+final class RequestExchange {
     /** Where the final answer goes. Each exchange calls one of these once. */
     interface Answer {
         void served(ByteBuf body);
@@ -31,10 +32,10 @@
     /** When the module was told of it. */
     long takenUs;
 
-    final List<Upstreams.Call> attempts = new ArrayList<>(1);
+    final List<UpstreamCall> attempts = new ArrayList<>(1);
     boolean over;
 
-    Exchange(
+    RequestExchange(
             Request request,
             HttpMethod method,
             String uri,
@@ -59,10 +60,10 @@
                 .append(" ms after its time, ")
                 .append((now - takenUs) / 1000)
                 .append(" after it was taken:");
-        for (Upstreams.Call c : attempts) {
-            text.append(' ').append(c.upstream).append(" at ").append((c.sentUs - takenUs) / 1000);
+        for (UpstreamCall c : attempts) {
+            text.append(' ').append(c.upstream()).append(" at ").append((c.sentUs() - takenUs) / 1000);
             if (c.ended()) {
-                text.append(' ').append(c.outcome()).append(" at ").append((c.endedUs - takenUs) / 1000);
+                text.append(' ').append(c.outcome()).append(" at ").append((c.endedUs() - takenUs) / 1000);
             }
         }
         return attempts.isEmpty() ? text.append(" no attempt").toString() : text.toString();
@@ -73,6 +74,6 @@
     }
 
     boolean noneOut() {
-        return attempts.stream().allMatch(Upstreams.Call::ended);
+        return attempts.stream().allMatch(UpstreamCall::ended);
     }
 }
--- a/src/main/java/rushproxy/sidecar/SettingsCheck.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
@@ -1,20 +1,20 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.configuration;
 
 import java.util.HashSet;
 import java.util.Set;
-import rushproxy.Balancer.RequestClass;
-import rushproxy.Balancer.Rules;
-import rushproxy.Balancer.Settings;
+import loadbalancer.settings.EndpointRules;
+import loadbalancer.settings.LoadBalancerSettings;
+import loadbalancer.settings.RequestClass;
 
 /**
  * Whether settings may take the place of those in force. They are checked whole before any of them is used: a sidecar
  * that serves has something to lose, one that starts has not.
  */
-final class SettingsCheck {
-    private SettingsCheck() {}
+final class SettingsValidator {
+    private SettingsValidator() {}
 
     /** What is wrong first, by the name it has in the configuration; null where nothing is. */
-    static String wrong(Settings fresh, Settings inForce) {
+    static String wrong(LoadBalancerSettings fresh, LoadBalancerSettings inForce) {
         if (fresh.discoveryOnRequest() != inForce.discoveryOnRequest()) {
             return "'discovery' can't change while it runs";
         }
@@ -36,7 +36,7 @@
                 return "'profiles' gives '" + c.name() + "' no worth";
             }
         }
-        Rules r = fresh.rules();
+        EndpointRules r = fresh.rules();
         if (!(r.coldShare() > 0 && r.coldShare() <= 1)
                 || r.rampUs() < 0
                 || !(r.fallMultiple() > 0)
--- a/src/main/java/rushproxy/sidecar/Config.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.configuration;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,15 +10,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import rushproxy.Balancer.Settings;
-import rushproxy.wire.SettingsReader;
-import rushproxy.wire.WireException;
+import loadbalancer.input.InvalidSettingsException;
+import loadbalancer.input.SettingsReader;
+import loadbalancer.proxy.protocol.EndpointList;
+import loadbalancer.proxy.protocol.JsonObject;
+import loadbalancer.settings.LoadBalancerSettings;
 
 /**
  * What a sidecar is told at its start. {@code peerListen} and {@code peersAll} are null where there are none;
  * {@code words} are those that the settings were read from.
  */
-record Config(
+public record SidecarConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -27,87 +29,67 @@
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
-        UpstreamList known,
+        EndpointList known,
         Map<String, String> words,
-        Settings settings) {
-
-    /** A configuration that no sidecar can start with; the message is one line and names the field. */
-    static final class Broken extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        Broken(String message) {
-            super(oneLine(message));
-        }
-
-        private static String oneLine(String text) {
-            StringBuilder line = new StringBuilder();
-            for (int i = 0; i < text.length(); i++) {
-                boolean space = Character.isWhitespace(text.charAt(i));
-                if (!space) {
-                    line.append(text.charAt(i));
-                } else if (line.isEmpty() || line.charAt(line.length() - 1) != ' ') {
-                    line.append(' ');
-                }
-            }
-            return line.toString();
-        }
-    }
+        LoadBalancerSettings settings) {
 
     /** The bounds that an operator compares with what a sidecar needs. */
-    String limits() {
+    public String limits() {
         return sockets + " descriptors, "
                 + settings.classes().stream()
                         .map(c -> c.name() + " wanted within " + c.aimUs() / 1000 + " ms of " + c.deadlineUs() / 1000)
                         .collect(Collectors.joining(", "));
     }
 
-    static Config read(Map<String, String> environment) throws Broken {
+    public static SidecarConfiguration read(Map<String, String> environment) throws ConfigurationException {
         String path = environment.get("BALANCER_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new Broken("BALANCER_CONFIG is not set");
+            throw new ConfigurationException("BALANCER_CONFIG is not set");
         }
         byte[] text;
         try {
             text = Files.readAllBytes(Path.of(path));
         } catch (IOException | InvalidPathException e) {
-            throw new Broken("BALANCER_CONFIG can't be read: " + e);
+            throw new ConfigurationException("BALANCER_CONFIG can't be read: " + e);
         }
         try {
-            return parse(Json.parse(text), environment);
+            return parse(JsonObject.parse(text), environment);
         } catch (IllegalArgumentException e) {
-            throw new Broken("configuration: " + e.getMessage());
-        } catch (WireException e) {
-            throw new Broken("configuration, settings: " + e.getMessage());
+            throw new ConfigurationException("configuration: " + e.getMessage());
+        } catch (InvalidSettingsException e) {
+            throw new ConfigurationException("configuration, settings: " + e.getMessage());
         }
     }
 
     /** The same settings for a sidecar on another stage, without peers. */
-    Config elsewhere(InetSocketAddress listens, InetSocketAddress asks, UpstreamList knows) {
-        return new Config(name, listens, asks, seed, sockets, null, List.of(), null, knows, words, settings);
+    public SidecarConfiguration elsewhere(InetSocketAddress listens, InetSocketAddress asks, EndpointList knows) {
+        return new SidecarConfiguration(
+                name, listens, asks, seed, sockets, null, List.of(), null, knows, words, settings);
     }
 
     /** The file as it is now. Where it names another discovery than the variable of the start, the file is newer. */
-    static Config readAgain(Map<String, String> environment, Settings inForce) throws Broken {
+    public static SidecarConfiguration readAgain(Map<String, String> environment, LoadBalancerSettings inForce)
+            throws ConfigurationException {
         Map<String, String> rest = new HashMap<>(environment);
         rest.remove("BALANCER_DISCOVERY");
-        Config fresh = read(rest);
-        String wrong = SettingsCheck.wrong(fresh.settings, inForce);
+        SidecarConfiguration fresh = read(rest);
+        String wrong = SettingsValidator.wrong(fresh.settings, inForce);
         if (wrong != null) {
-            throw new Broken("configuration, settings: " + wrong);
+            throw new ConfigurationException("configuration, settings: " + wrong);
         }
         return fresh;
     }
 
-    private static Config parse(Json json, Map<String, String> environment) {
+    private static SidecarConfiguration parse(JsonObject json, Map<String, String> environment) {
         String name = environment.getOrDefault("BALANCER_NAME", json.textOr("name", "sidecar"));
         Map<String, String> words = json.object("settings").flat();
-        Settings settings = new SettingsReader(words).read();
+        LoadBalancerSettings settings = new SettingsReader(words).read();
         List<InetSocketAddress> peers = new ArrayList<>();
         for (String peer : json.textsOrNone("peers")) {
             peers.add(address("peers", peer));
         }
         int sockets = (int) (json.has("limits") ? json.object("limits").numberOr("sockets", 1024) : 1024);
-        return new Config(
+        return new SidecarConfiguration(
                 name,
                 told(json, environment, "listen", "BALANCER_LISTEN"),
                 told(json, environment, "discovery", "BALANCER_DISCOVERY"),
@@ -121,26 +103,27 @@
                 settings);
     }
 
-    private static UpstreamList known(Json json) {
+    private static EndpointList known(JsonObject json) {
         try {
-            return UpstreamList.of(json.object("known"));
+            return EndpointList.of(json.object("known"));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("'known': " + e.getMessage());
         }
     }
 
-    private static InetSocketAddress told(Json json, Map<String, String> environment, String field, String variable) {
+    private static InetSocketAddress told(
+            JsonObject json, Map<String, String> environment, String field, String variable) {
         String text = environment.get(variable);
         return text == null ? address(field, json.text(field)) : address(variable, text);
     }
 
-    private static InetSocketAddress optional(Json json, String field) {
+    private static InetSocketAddress optional(JsonObject json, String field) {
         return json.has(field) ? address(field, json.text(field)) : null;
     }
 
     private static InetSocketAddress address(String field, String text) {
         try {
-            return UpstreamList.address(text);
+            return EndpointList.address(text);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("'" + field + "' is no address: '" + text + "'");
         }
--- a/src/main/java/rushproxy/sidecar/Discovery.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -18,8 +18,15 @@
 import java.util.List;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import rushproxy.Balancer.ListKind;
-import rushproxy.Balancer.Upstream;
+import loadbalancer.decision.Endpoint;
+import loadbalancer.decision.EndpointListType;
+import loadbalancer.proxy.eventloop.ClientBootstraps;
+import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.protocol.EndpointList;
+import loadbalancer.proxy.protocol.JsonObject;
+import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
  * The watch on discovery: one call after the other without a gap. What the agent has counts as told, whether or not a
@@ -27,7 +34,7 @@
  * Where the module asks for the list, failures are told to it, and it decides when to ask again; the list it has still
  * holds.
  */
-final class Discovery {
+public final class DiscoveryWatch {
     private static final String PATH = "/registry/instances";
     /** A list of some thousand upstreams; more is no list. */
     private static final int MAX_ANSWER = 1 << 20;
@@ -40,30 +47,15 @@
     /** Pauses after failed calls: the longest is a part of the time that any grace after a notice allows. */
     private static final long AGAIN_US = 25_000, AGAIN_MOST_US = 100_000;
 
-    /**
-     * How long calls are waited for. A silent watch is broken, and what it misses counts as told 6 s after it fell
-     * silent, or 2 s after its wait is over: a short wait and little patience leave most of that for asking anew. The
-     * agent, on this machine, answers at once what need not wait; one that does not is asked again, ever more
-     * patiently, as a long list to a busy sidecar may take its time.
-     */
-    record Patience(long waitMs, long silentMs, long promptMs) {
-        static final Patience USUAL = new Patience(2_000, 500, 250);
-        private static final int MOST_DOUBLED = 2;
-
-        long ms(boolean waits, int failures) {
-            return waits ? waitMs + silentMs : promptMs << Math.min(failures, MOST_DOUBLED);
-        }
-    }
-
     /** Stands for a call that keeps all others from being made. */
     private static final long NEVER = -1;
 
     private final EventLoop loop;
-    private final Clock clock;
-    private final Decisions decisions;
-    private final Upstreams upstreams;
-    private final Patience patience;
-    private final Backoff backoff;
+    private final MonotonicClock clock;
+    private final LoadBalancerExecutor decisions;
+    private final UpstreamConnectionPool upstreams;
+    private final WatchTimeouts patience;
+    private final ExponentialBackoff backoff;
     private InetSocketAddress address;
     private final Bootstrap bootstrap;
     private long generation;
@@ -84,16 +76,16 @@
     /** Where lists are pushed the module asks for nothing: the watch is this class's own. */
     private final boolean pushed;
 
-    Discovery(
+    public DiscoveryWatch(
             EventLoop loop,
-            Clock clock,
-            Decisions decisions,
-            Upstreams upstreams,
+            MonotonicClock clock,
+            LoadBalancerExecutor decisions,
+            UpstreamConnectionPool upstreams,
             InetSocketAddress address,
             long generation,
             boolean pushed,
-            Patience patience,
-            Backoff backoff) {
+            WatchTimeouts patience,
+            ExponentialBackoff backoff) {
         this.pushed = pushed;
         this.patience = patience;
         this.backoff = backoff;
@@ -103,26 +95,26 @@
         this.upstreams = upstreams;
         this.address = address;
         this.generation = generation;
-        bootstrap = Connector.http(loop, CONNECT_MS, MAX_ANSWER, Handler::new);
+        bootstrap = ClientBootstraps.http(loop, CONNECT_MS, MAX_ANSWER, Handler::new);
     }
 
-    static Backoff backoff() {
-        return new Backoff(
+    public static ExponentialBackoff backoff() {
+        return new ExponentialBackoff(
                 AGAIN_US, AGAIN_MOST_US, bound -> ThreadLocalRandom.current().nextLong(bound));
     }
 
-    void start() {
+    public void start() {
         if (pushed) {
             subscribe();
         }
     }
 
     /** The list is as new as it can be had: the first call was answered, or nobody is there to answer it. */
-    boolean heard() {
+    public boolean heard() {
         return !fresh;
     }
 
-    void subscribe() {
+    public void subscribe() {
         asked = !pushed;
         goOn();
     }
@@ -131,12 +123,12 @@
      * Asks elsewhere from now on, at once and for the whole list: versions of another service need not follow on these.
      * The call that was out is over and has not failed; nobody waits longer for having asked the old one.
      */
-    void moveTo(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         if (to.equals(address)) {
-            Log.line("discovery stays at " + to);
+            SidecarLog.line("discovery stays at " + to);
             return;
         }
-        Log.line("discovery is now at " + to);
+        SidecarLog.line("discovery is now at " + to);
         address = to;
         doubt = true;
         leave();
@@ -144,7 +136,7 @@
     }
 
     /** Asks no more. */
-    void stop() {
+    public void stop() {
         leave();
         call = NEVER;
     }
@@ -212,7 +204,7 @@
         fresh = false;
         long pauseUs = backoff.failed();
         if (backoff.failures() == 1) {
-            Log.line("a call to discovery failed: " + why);
+            SidecarLog.line("a call to discovery failed: " + why);
         }
         if (pushed) {
             again(pauseUs);
@@ -221,7 +213,7 @@
             // The module asks again, ever later; without a working one nobody would.
             decisions.call(
                     "a call to discovery that failed",
-                    m -> m.onList(clock.now(), ListKind.FAILED, List.of()),
+                    m -> m.onList(clock.now(), EndpointListType.FAILED, List.of()),
                     () -> again(pauseUs));
         }
     }
@@ -236,13 +228,13 @@
     }
 
     private void answered(FullHttpResponse response) {
-        UpstreamList list;
+        EndpointList list;
         try {
             if (response.status().code() != 200 || !response.decoderResult().isSuccess()) {
                 failed(call, "status " + response.status().code());
                 return;
             }
-            list = UpstreamList.of(Json.parse(ByteBufUtil.getBytes(response.content())));
+            list = EndpointList.of(JsonObject.parse(ByteBufUtil.getBytes(response.content())));
             boolean known = doubt ? list.whole() : list.whole() || list.generation() >= generation;
             if (!known || list.whole() && list.entries().isEmpty()) {
                 throw new IllegalArgumentException("it does not follow on the list before");
@@ -254,7 +246,7 @@
         }
         end();
         if (backoff.failures() > 0) {
-            Log.line("discovery answers again after " + backoff.failures() + " failed calls");
+            SidecarLog.line("discovery answers again after " + backoff.failures() + " failed calls");
             backoff.succeeded();
         }
         fresh = false;
@@ -266,11 +258,11 @@
         upstreams.update(list);
         if (asked || list.whole() || !list.entries().isEmpty()) {
             asked = false;
-            List<Upstream> entries =
-                    list.entries().stream().map(UpstreamList.Entry::upstream).toList();
+            List<Endpoint> entries =
+                    list.entries().stream().map(EndpointList.Entry::upstream).toList();
             decisions.call(
                     "a list",
-                    m -> m.onList(clock.now(), list.whole() ? ListKind.FULL : ListKind.DELTA, entries),
+                    m -> m.onList(clock.now(), list.whole() ? EndpointListType.FULL : EndpointListType.DELTA, entries),
                     () -> {});
         }
         long restMs = PACE_MS - (clock.now() - begunUs) / 1000;
--- a/src/main/java/rushproxy/sidecar/Backoff.java
+++ b/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.discovery;
 
 import java.util.function.LongUnaryOperator;
 
@@ -6,7 +6,7 @@
  * How long to pause after a failed call: not at all after the first, as what is asked again at once is missed by
  * nobody; then ever longer, and jittered, as a service that is down fails all who ask it together.
  */
-final class Backoff {
+public final class ExponentialBackoff {
     private final long leastUs;
     private final long mostUs;
     /** A random number from 0 up to, not including, the one given. */
@@ -14,7 +14,7 @@
 
     private int failures;
 
-    Backoff(long leastUs, long mostUs, LongUnaryOperator random) {
+    ExponentialBackoff(long leastUs, long mostUs, LongUnaryOperator random) {
         this.leastUs = leastUs;
         this.mostUs = mostUs;
         this.random = random;
--- a/src/main/java/rushproxy/sidecar/Connector.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.eventloop;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -13,17 +13,17 @@
 import java.util.function.Supplier;
 
 /** How this program opens HTTP connections, to upstreams and to discovery alike. */
-final class Connector {
-    private Connector() {}
+public final class ClientBootstraps {
+    private ClientBootstraps() {}
 
     /** Each connection gets a handler of its own, which sees whole answers of at most {@code maxBody} bytes. */
-    static Bootstrap http(EventLoop loop, int connectMs, int maxBody, Supplier<ChannelHandler> handler) {
+    public static Bootstrap http(EventLoop loop, int connectMs, int maxBody, Supplier<ChannelHandler> handler) {
         return tcp(loop, connectMs, channel -> channel.pipeline()
                 .addLast(new HttpClientCodec(), new HttpObjectAggregator(maxBody), handler.get()));
     }
 
     /** {@code equip} gives each new connection its handlers. */
-    static Bootstrap tcp(EventLoop loop, int connectMs, Consumer<Channel> equip) {
+    public static Bootstrap tcp(EventLoop loop, int connectMs, Consumer<Channel> equip) {
         return new Bootstrap()
                 .group(loop)
                 .channelFactory(NioSocketChannel::new)
--- a/src/main/java/rushproxy/sidecar/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -1,39 +1,39 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.eventloop;
 
 /**
  * Tells why the event loop was late: the longest piece of work on it by its name, and what each thread of the process
  * ran and how long it waited for a processor. The threads are looked at only where a line is due, not with each tick.
  */
-final class EventLoopMonitor {
+public final class EventLoopMonitor {
     private static final long LATE_US = 100_000;
     /** At most one line in this time: a loop that is late for long would be later by its log. */
     private static final long QUIET_US = 1_000_000;
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private ThreadTimes before;
     private long beforeUs;
     private String longest = "none";
     private long longestUs;
     private long toldUs;
 
-    EventLoopMonitor(Clock clock) {
+    public EventLoopMonitor(MonotonicClock clock) {
         this.clock = clock;
     }
 
     /** From now on what the threads do is counted; on the loop, like all that follows. */
-    void start() {
+    public void start() {
         before = ThreadTimes.read();
         beforeUs = clock.now();
     }
 
     /** A late loop is told from now on by what the threads do from now on. */
-    void restart() {
+    public void restart() {
         before = before.again();
         beforeUs = clock.now();
     }
 
     /** A piece of work on the loop is done that began then. */
-    void finished(String work, long sinceUs) {
+    public void finished(String work, long sinceUs) {
         long us = clock.now() - sinceUs;
         if (us > longestUs) {
             longestUs = us;
@@ -42,7 +42,7 @@
     }
 
     /** With each tick, which came so late: null, or a line on what came since the last where that was late. */
-    String tick(long lagUs) {
+    public String tick(long lagUs) {
         String line = null;
         if (before != null && lagUs > LATE_US && clock.now() - toldUs > QUIET_US) {
             toldUs = clock.now();
--- a/src/main/java/rushproxy/sidecar/FaultBarrier.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
@@ -1,15 +1,17 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.eventloop;
+
+import loadbalancer.proxy.observability.SidecarLog;
 
 /**
  * Keeps a failure to the piece of work in which it arose. An error as well as an exception: a stack that overflowed, a
  * class that could not be loaded or memory that ran out in one request ends that request, and a timer that runs again
  * and again must not stop because it failed once.
  */
-final class FaultBarrier {
+public final class FaultBarrier {
     private FaultBarrier() {}
 
     /** Runs {@code work}; false where it failed, which is logged under {@code name}. */
-    static boolean passes(String name, Runnable work) {
+    public static boolean passes(String name, Runnable work) {
         try {
             work.run();
             return true;
@@ -21,7 +23,7 @@
 
     private static void log(String name, Throwable failure) {
         try {
-            Log.trouble(name + " failed", failure);
+            SidecarLog.trouble(name + " failed", failure);
         } catch (RuntimeException | Error e) {
             // Without the memory for a line the process goes on all the same.
             return;
--- a/src/main/java/rushproxy/sidecar/Decisions.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -1,36 +1,37 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.eventloop;
 
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import rushproxy.Balancer;
+import loadbalancer.decision.LoadBalancer;
+import loadbalancer.decision.LoadBalancerActions;
 
 /**
  * The module and the one way in and out of it. What the module does during a call is kept until the call has returned:
  * no action re-enters it. An exception, the module's or a handler's, is logged and ends neither the program nor what
  * waits behind it.
  */
-final class Decisions {
+public final class LoadBalancerExecutor {
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
     private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
-    private Balancer module;
-    private final Clock clock;
+    private LoadBalancer module;
+    private final MonotonicClock clock;
     private final EventLoopMonitor monitor;
     private boolean running;
 
-    Decisions(Clock clock, EventLoopMonitor monitor) {
+    public LoadBalancerExecutor(MonotonicClock clock, EventLoopMonitor monitor) {
         this.clock = clock;
         this.monitor = monitor;
     }
 
     /** {@code build} makes the module, which may act from its constructor on. */
-    void start(Function<Balancer.Actions, Balancer> build, Balancer.Actions executor) {
+    public void start(Function<LoadBalancerActions, LoadBalancer> build, LoadBalancerActions executor) {
         calls.add(() -> module = build.apply(later(executor)));
         run();
     }
 
     /** {@code event} names the call in the log; {@code broken} runs where the module could not take it. */
-    void call(String event, Consumer<Balancer> call, Runnable broken) {
+    public void call(String event, Consumer<LoadBalancer> call, Runnable broken) {
         calls.add(() -> {
             long begunUs = clock.now();
             if (!FaultBarrier.passes("the module", () -> call.accept(module))) {
@@ -59,8 +60,8 @@
         }
     }
 
-    private Balancer.Actions later(Balancer.Actions executor) {
-        return new Balancer.Actions() {
+    private LoadBalancerActions later(LoadBalancerActions executor) {
+        return new LoadBalancerActions() {
             @Override
             public void send(String request, String upstream, long untilUs) {
                 actions.add(() -> executor.send(request, upstream, untilUs));
--- a/src/main/java/rushproxy/sidecar/Clock.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/MonotonicClock.java
@@ -1,11 +1,11 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.eventloop;
 
 /** Module time: microseconds that only move forward, set once to Unix time so that upstreams' starts fit in. */
-final class Clock {
+public final class MonotonicClock {
     private final long unixUs = System.currentTimeMillis() * 1000;
     private final long nanos = System.nanoTime();
 
-    long now() {
+    public long now() {
         return unixUs + (System.nanoTime() - nanos) / 1000;
     }
 }
--- a/src/main/java/rushproxy/sidecar/ReadTrackingLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.eventloop;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.IoHandle;
@@ -17,9 +17,9 @@
  * reading that started just before: in a loop that is late, a client's leaving waits in a socket that comes after the
  * one that decided the attempt. Costs a send up to {@link #MOST_MORE} iterations of the loop and no wait.
  */
-final class ReadTrackingLoop {
+public final class ReadTrackingEventLoop {
     /** A client's leaving may be unseen for so long: a part of the 100 ms after which nothing may begin for it. */
-    static final long FRESH_US = 25_000;
+    public static final long FRESH_US = 25_000;
     /** Where each iteration takes longer than that, waiting for a quick one would wait for ever. */
     private static final int MOST_MORE = 2;
     /** A loop that is less late than this is not late: its timers are as exact as the system's. */
@@ -29,7 +29,7 @@
 
     private static final long NEVER = -1;
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final ArrayDeque<Runnable> begins = new ArrayDeque<>();
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
@@ -42,27 +42,27 @@
 
     private long recentLagUs;
 
-    ReadTrackingLoop(Clock clock) {
+    public ReadTrackingEventLoop(MonotonicClock clock) {
         this.clock = clock;
         group = new MultiThreadIoEventLoopGroup(1, tracked(NioIoHandler.newFactory()));
         loop = group.next();
     }
 
-    Clock clock() {
+    public MonotonicClock clock() {
         return clock;
     }
 
-    EventLoop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
     /** Ends the thread at once, with all that is open or scheduled on it. */
-    void end() {
+    public void end() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     /** Runs {@code begin} once what the sockets have by now has been read, on the loop, which alone may call this. */
-    void onceRead(Runnable begin) {
+    public void onceRead(Runnable begin) {
         begins.add(begin);
         if (!due) {
             due = true;
@@ -85,7 +85,7 @@
     }
 
     /** When the last whole reading began, in module time: all that had come by then has been handled. */
-    long readUs() {
+    public long readUs() {
         return readUs;
     }
 
@@ -93,18 +93,18 @@
      * How long what is read now may have waited in its socket: the time by which the loop is behind its timers. Of a
      * loop that had no processor the sockets themselves tell nothing. Zero where the loop is in time.
      */
-    long lateUs() {
+    public long lateUs() {
         long us = wakeNanos == NEVER ? 0 : (loop.ticker().nanoTime() - wakeNanos) / 1000;
         return us < LATE_LEAST_US ? 0 : us;
     }
 
     /** With each tick: by how much it was late. */
-    void ticked(long lagUs) {
+    public void ticked(long lagUs) {
         recentLagUs = Math.max(lagUs, recentLagUs - recentLagUs / LAG_FADES_BY);
     }
 
     /** How late the loop was at most of late, fading with the ticks since. */
-    long recentLagUs() {
+    public long recentLagUs() {
         return recentLagUs;
     }
 
--- a/src/main/java/rushproxy/sidecar/ThreadTimes.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.eventloop;
 
 import java.io.File;
 import java.io.FileInputStream;
--- a/src/main/java/rushproxy/sidecar/Peers.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.gossip;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -13,26 +13,32 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
+import loadbalancer.proxy.eventloop.MonotonicClock;
 
 /** Short messages between sidecars. A peer's number is its place in the configuration. */
-final class Peers {
+public final class GossipTransport {
     private static final int MAX_BYTES = 256;
 
-    private final Clock clock;
-    private final Decisions decisions;
+    private final MonotonicClock clock;
+    private final LoadBalancerExecutor decisions;
     private List<InetSocketAddress> peers;
     private InetSocketAddress all;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
     private Channel channel;
 
-    Peers(Clock clock, Decisions decisions, List<InetSocketAddress> peers, InetSocketAddress all) {
+    public GossipTransport(
+            MonotonicClock clock,
+            LoadBalancerExecutor decisions,
+            List<InetSocketAddress> peers,
+            InetSocketAddress all) {
         this.clock = clock;
         this.decisions = decisions;
         take(peers, all);
     }
 
     /** A peer's number is its place in the list that holds now. */
-    void take(List<InetSocketAddress> addresses, InetSocketAddress ofAll) {
+    public void take(List<InetSocketAddress> addresses, InetSocketAddress ofAll) {
         peers = addresses;
         all = ofAll;
         numbers.clear();
@@ -41,7 +47,7 @@
         }
     }
 
-    void listen(EventLoop loop, InetSocketAddress address) throws InterruptedException {
+    public void listen(EventLoop loop, InetSocketAddress address) throws InterruptedException {
         channel = new Bootstrap()
                 .group(loop)
                 .channelFactory(() -> new NioDatagramChannel())
@@ -52,7 +58,7 @@
     }
 
     /** To one peer, or to all where the number is -1. What can't be sent is lost, as any datagram may be. */
-    void tell(int peer, byte[] message) {
+    public void tell(int peer, byte[] message) {
         InetSocketAddress to = peer == -1 ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
         if (channel != null && to != null && message.length <= MAX_BYTES) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
--- a/src/main/java/rushproxy/sidecar/Reload.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -1,6 +1,9 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.lifecycle;
 
 import java.util.Map;
+import loadbalancer.proxy.configuration.ConfigurationException;
+import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.observability.SidecarLog;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -8,21 +11,21 @@
  * Rereads the configuration on SIGHUP, which would end the program if nobody handled it: so from the first line on,
  * also before there is a sidecar to tell. The file is read on the signal's own thread; the loop only gets the result.
  */
-final class Reload {
+final class ConfigurationReloader {
     private final Map<String, String> environment;
     private Sidecar sidecar;
     private boolean wanted;
 
-    Reload(Map<String, String> environment) {
+    ConfigurationReloader(Map<String, String> environment) {
         this.environment = environment;
         if (Signal.handle(new Signal("HUP"), signal -> asked()) == SignalHandler.SIG_IGN) {
             // Java keeps what it was started with, as by nohup: no handler can change that.
-            Log.line("SIGHUP is ignored by who started this program: no new configuration will be read");
+            SidecarLog.line("SIGHUP is ignored by who started this program: no new configuration will be read");
         }
     }
 
     private synchronized void asked() {
-        Log.line("asked to read the configuration again");
+        SidecarLog.line("asked to read the configuration again");
         wanted = true;
         go();
     }
@@ -39,9 +42,9 @@
         }
         wanted = false;
         try {
-            sidecar.reconfigure(Config.readAgain(environment, sidecar.settings()));
-        } catch (Config.Broken e) {
-            Log.line("goes on as before: " + e.getMessage());
+            sidecar.reconfigure(SidecarConfiguration.readAgain(environment, sidecar.settings()));
+        } catch (ConfigurationException e) {
+            SidecarLog.line("goes on as before: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/NettyEnvironment.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/NettyEnvironment.java
@@ -1,4 +1,6 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.lifecycle;
+
+import loadbalancer.proxy.observability.NettyLoggerFactory;
 
 /**
  * What Netty and the JDK's sockets would find out by themselves at a start, at a cost, and what a sidecar has no use
@@ -16,7 +18,7 @@
         set("io.netty.processId", "1");
         // All addresses are IPv4: sockets for both would be tried first.
         set("java.net.preferIPv4Stack", "true");
-        NettyLog.install();
+        NettyLoggerFactory.install();
     }
 
     private static void set(String property, String value) {
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.lifecycle;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -9,9 +9,31 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import rushproxy.Balancer;
-import rushproxy.Balancer.ListKind;
-import rushproxy.Policy;
+import loadbalancer.decision.EndpointListType;
+import loadbalancer.decision.LoadBalancer;
+import loadbalancer.decision.LoadBalancerActions;
+import loadbalancer.decision.LoadBalancingPolicy;
+import loadbalancer.proxy.client.ClientServer;
+import loadbalancer.proxy.client.RequestDispatcher;
+import loadbalancer.proxy.configuration.ConfigurationException;
+import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.discovery.DiscoveryWatch;
+import loadbalancer.proxy.discovery.ExponentialBackoff;
+import loadbalancer.proxy.discovery.WatchTimeouts;
+import loadbalancer.proxy.eventloop.EventLoopMonitor;
+import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.gossip.GossipTransport;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.observability.StartupTimer;
+import loadbalancer.proxy.observability.TrafficStatistics;
+import loadbalancer.proxy.protocol.EndpointList;
+import loadbalancer.proxy.upstream.UpstreamCall;
+import loadbalancer.proxy.upstream.UpstreamConnectionPool;
+import loadbalancer.settings.LoadBalancerSettings;
+import loadbalancer.settings.RequestClass;
 
 /** One sidecar: starts its parts on one event loop, which owns them all, and ends them in good order. */
 public final class Sidecar {
@@ -27,59 +49,69 @@
     /** A line of totals in the log each 5 s: often enough to tell a bad stretch from the good ones around it. */
     private static final int TICKS = 50;
 
-    private volatile Config config;
+    private volatile SidecarConfiguration config;
     private final Module module;
-    private final ReadTrackingLoop reads;
-    private final Clock clock;
+    private final ReadTrackingEventLoop reads;
+    private final MonotonicClock clock;
     private final EventLoop loop;
     private final EventLoopMonitor monitor;
-    private final Decisions decisions;
-    private final Totals totals = new Totals();
-    private final Upstreams upstreams;
-    private final Requests requests;
-    private final Discovery discovery;
-    private final Peers peers;
+    private final LoadBalancerExecutor decisions;
+    private final TrafficStatistics totals = new TrafficStatistics();
+    private final UpstreamConnectionPool upstreams;
+    private final RequestDispatcher requests;
+    private final DiscoveryWatch discovery;
+    private final GossipTransport peers;
     private final ClientServer clients;
     private InetSocketAddress listening;
     private long tickAtUs;
     private long ticks;
 
     /** Makes the module that decides; its actions may be used from then on. */
-    interface Module {
-        Balancer create(Config config, long now, Balancer.Actions actions);
+    public interface Module {
+        LoadBalancer create(SidecarConfiguration config, long now, LoadBalancerActions actions);
     }
 
-    Sidecar(Config config, Module module) {
-        this(config, module, new ReadTrackingLoop(new Clock()), Discovery.Patience.USUAL, Discovery.backoff());
+    public Sidecar(SidecarConfiguration config, Module module) {
+        this(
+                config,
+                module,
+                new ReadTrackingEventLoop(new MonotonicClock()),
+                WatchTimeouts.USUAL,
+                DiscoveryWatch.backoff());
     }
 
     /** {@code reads} is the loop that owns all of its parts. */
-    Sidecar(Config config, Module module, ReadTrackingLoop reads, Discovery.Patience patience, Backoff backoff) {
+    public Sidecar(
+            SidecarConfiguration config,
+            Module module,
+            ReadTrackingEventLoop reads,
+            WatchTimeouts patience,
+            ExponentialBackoff backoff) {
         this.config = config;
         this.module = module;
         this.reads = reads;
         clock = reads.clock();
         loop = reads.loop();
         monitor = new EventLoopMonitor(clock);
-        decisions = new Decisions(clock, monitor);
-        Balancer.Settings settings = config.settings();
+        decisions = new LoadBalancerExecutor(clock, monitor);
+        LoadBalancerSettings settings = config.settings();
         int most = Math.max(32, config.sockets() - OWN_DESCRIPTORS);
         // Clients may hold a third of all for their requests, and others come and say nothing. What they leave is for
         // upstreams, whose idle connections give way: too few of them, and most requests begin with a handshake.
         int fromClients = most * 5 / 8;
         // A quarter of that third for connections between requests: the rest is for requests in progress.
         int spare = config.sockets() / 12;
-        upstreams = new Upstreams(
+        upstreams = new UpstreamConnectionPool(
                 reads,
                 settings.limits().connIdleUs(),
-                Upstreams.REST_US,
+                UpstreamConnectionPool.REST_US,
                 settings.limits().dialTimeoutUs(),
                 stallUs(settings),
                 () -> most - openFromClients(),
                 totals);
-        requests = new Requests(
+        requests = new RequestDispatcher(
                 loop, clock, decisions, upstreams, settings.limits().maxAttempts(), totals);
-        discovery = new Discovery(
+        discovery = new DiscoveryWatch(
                 loop,
                 clock,
                 decisions,
@@ -89,7 +121,7 @@
                 !settings.discoveryOnRequest(),
                 patience,
                 backoff);
-        peers = new Peers(clock, decisions, config.peers(), config.peersAll());
+        peers = new GossipTransport(clock, decisions, config.peers(), config.peersAll());
         clients = new ClientServer(
                 reads,
                 requests,
@@ -106,11 +138,9 @@
     }
 
     /** A quarter of the time within which an answer is wanted leaves enough of it for another attempt. */
-    private static long stallUs(Balancer.Settings settings) {
-        long aim = settings.classes().stream()
-                .mapToLong(Balancer.RequestClass::aimUs)
-                .min()
-                .orElse(0);
+    private static long stallUs(LoadBalancerSettings settings) {
+        long aim =
+                settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElse(0);
         return Math.max(STALL_LEAST_US, aim / 4);
     }
 
@@ -123,32 +153,32 @@
             status = start(environment);
         } catch (RuntimeException | Error e) {
             // Its event loop would go on without ever being ready.
-            Log.trouble("can't start", e);
+            SidecarLog.trouble("can't start", e);
         }
-        Log.drain();
+        SidecarLog.drain();
         return status;
     }
 
     private static int start(Map<String, String> environment) throws InterruptedException {
-        StartPhases phases = new StartPhases();
+        StartupTimer phases = new StartupTimer();
         NettyEnvironment.prepare();
-        Reload reload = new Reload(environment);
-        Config config;
+        ConfigurationReloader reload = new ConfigurationReloader(environment);
+        SidecarConfiguration config;
         try {
-            config = Config.read(environment);
-        } catch (Config.Broken e) {
-            Log.line(e.getMessage());
+            config = SidecarConfiguration.read(environment);
+        } catch (ConfigurationException e) {
+            SidecarLog.line(e.getMessage());
             return 2;
         }
         phases.done("settings");
-        Module module = (c, now, actions) -> new Policy(c.settings(), c.seed(), now, actions);
+        Module module = (c, now, actions) -> new LoadBalancingPolicy(c.settings(), c.seed(), now, actions);
         Sidecar sidecar = new Sidecar(config, module);
-        Rehearsal rehearsal = new Rehearsal(config, module);
+        StartupWarmUp rehearsal = new StartupWarmUp(config, module);
         sidecar.notReadyBefore(rehearsal::cut);
         try {
             sidecar.start();
         } catch (Exception e) {
-            Log.line("can't start: " + e);
+            SidecarLog.line("can't start: " + e);
             return 1;
         }
         CountDownLatch empty = new CountDownLatch(1);
@@ -156,35 +186,35 @@
             sidecar.stop(empty::countDown);
             try {
                 empty.await();
-                Log.drain();
+                SidecarLog.drain();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             // A stop that was asked for and went well is no failure, whatever signal asked.
             Runtime.getRuntime().halt(0);
         }));
-        Log.line(config.name() + " serves on " + sidecar.listening() + ", " + config.limits());
+        SidecarLog.line(config.name() + " serves on " + sidecar.listening() + ", " + config.limits());
         reload.serving(sidecar);
         phases.done("sockets and module");
         int requests = rehearsal.play();
         sidecar.rehearsed();
         phases.done("a rehearsal of " + requests + " requests");
         // Where a start takes long, one of these tells by what.
-        Log.line("ready after this start, in ms: " + phases);
+        SidecarLog.line("ready after this start, in ms: " + phases);
         new CountDownLatch(1).await();
         return 0;
     }
 
-    void start() throws InterruptedException {
+    public void start() throws InterruptedException {
         upstreams.update(config.known());
         loop.submit(() -> decisions.start(
                         actions -> {
-                            Balancer made = module.create(config, clock.now(), actions);
+                            LoadBalancer made = module.create(config, clock.now(), actions);
                             made.onList(
                                     clock.now(),
-                                    ListKind.CACHED,
+                                    EndpointListType.CACHED,
                                     config.known().entries().stream()
-                                            .map(UpstreamList.Entry::upstream)
+                                            .map(EndpointList.Entry::upstream)
                                             .toList());
                             return made;
                         },
@@ -210,7 +240,7 @@
         reads.ticked(lagUs);
         String late = monitor.tick(lagUs);
         if (late != null) {
-            Log.line(late);
+            SidecarLog.line(late);
         }
         clients.sweep();
         monitor.finished("the sweep of clients' connections", now);
@@ -224,7 +254,7 @@
         long begunUs = clock.now();
         String line = totals.line(requests.open(), clients.open(), upstreams.open());
         if (line != null) {
-            Log.line(line);
+            SidecarLog.line(line);
             monitor.restart();
         }
         monitor.finished("the line of totals", begunUs);
@@ -238,16 +268,16 @@
     }
 
     /** Those in force; read by the thread of a signal. */
-    Balancer.Settings settings() {
+    public LoadBalancerSettings settings() {
         return config.settings();
     }
 
-    InetSocketAddress listening() {
+    public InetSocketAddress listening() {
         return listening;
     }
 
     /** Before {@link #start}: it serves, but says that it is ready only once it is {@link #rehearsed}. */
-    void notReadyBefore(Runnable cut) {
+    public void notReadyBefore(Runnable cut) {
         clients.notReadyBefore(cut);
     }
 
@@ -260,20 +290,20 @@
      * A new configuration, checked whole, holds from now on: discovery, settings and peers. What is bound at the start,
      * the addresses to listen on and the seed, stays.
      */
-    void reconfigure(Config fresh) {
+    public void reconfigure(SidecarConfiguration fresh) {
         loop.execute(() -> {
             discovery.moveTo(fresh.discovery());
             // By their words: the first comparison of records loads a hundred classes, on a loop that others wait for.
             if (!fresh.words().equals(config.words()) || !fresh.peers().equals(config.peers())) {
                 config = fresh;
                 take(fresh);
-                Log.line("new settings are in force: " + fresh.limits());
+                SidecarLog.line("new settings are in force: " + fresh.limits());
             }
         });
     }
 
-    private void take(Config fresh) {
-        Balancer.Settings settings = fresh.settings();
+    private void take(SidecarConfiguration fresh) {
+        LoadBalancerSettings settings = fresh.settings();
         peers.take(fresh.peers(), fresh.peersAll());
         // The module first: no request of a new class may come to one that does not know it.
         decisions.call("new settings", m -> m.onSettings(clock.now(), settings), () -> {});
@@ -288,13 +318,13 @@
     }
 
     /** Ends at once, whatever is held. */
-    void end() {
+    public void end() {
         loop.execute(discovery::stop);
         reads.end();
     }
 
     /** Carries out what the module decides. */
-    private final class DecisionExecutor implements Balancer.Actions {
+    private final class DecisionExecutor implements LoadBalancerActions {
         @Override
         public void send(String request, String upstream, long untilUs) {
             requests.send(request, upstream, untilUs);
@@ -317,14 +347,14 @@
 
         @Override
         public void probe(String upstream) {
-            upstreams.start(new Upstreams.Call(
+            upstreams.start(new UpstreamCall(
                     upstream,
                     clock.now() + PROBE_US,
                     true,
                     left -> probe(),
                     (call, outcome, report, body) -> decisions.call(
                             "a probe",
-                            m -> m.onProbe(clock.now(), upstream, outcome, clock.now() - call.sentUs, report),
+                            m -> m.onProbe(clock.now(), upstream, outcome, clock.now() - call.sentUs(), report),
                             () -> {})));
         }
 
@@ -357,7 +387,7 @@
 
         @Override
         public void log(String text) {
-            Log.line(text);
+            SidecarLog.line(text);
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/Rehearsal.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.lifecycle;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -25,17 +25,26 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import rushproxy.Balancer.RequestClass;
-import rushproxy.Balancer.Semantics;
-import rushproxy.Balancer.Upstream;
-import rushproxy.Balancer.UpstreamState;
+import loadbalancer.decision.Endpoint;
+import loadbalancer.decision.EndpointState;
+import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.discovery.DiscoveryWatch;
+import loadbalancer.proxy.discovery.WatchTimeouts;
+import loadbalancer.proxy.eventloop.ClientBootstraps;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.protocol.EndpointList;
+import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.settings.Idempotency;
+import loadbalancer.settings.RequestClass;
 
 /**
  * Before it says that it is ready, a sidecar serves some requests of its own: a second sidecar in this program, its
  * only upstream and its only client here too. Code that has never run takes ten times as long; met by full traffic,
  * that makes every upstream look slow and most first requests late. Requests that come all the same end it at once.
  */
-final class Rehearsal {
+final class StartupWarmUp {
     /**
      * A few of each class load and link what a request needs. Further ones only have code compiled earlier: forty
      * requests after it are answered as quickly with 12 as with up to 400 before them. Not to be ended by how quick
@@ -48,13 +57,13 @@
     private static final int UPSTREAMS = 6;
     private static final long LONGEST_MS = 1_500;
 
-    private final Config config;
+    private final SidecarConfiguration config;
     private final Sidecar.Module module;
     private final CountDownLatch over = new CountDownLatch(1);
     private int begun;
     private volatile int answered;
 
-    Rehearsal(Config config, Sidecar.Module module) {
+    StartupWarmUp(SidecarConfiguration config, Sidecar.Module module) {
         this.config = config;
         this.module = module;
     }
@@ -69,7 +78,7 @@
      * only starts slower.
      */
     int play() {
-        ReadTrackingLoop reads = new ReadTrackingLoop(new Clock());
+        ReadTrackingEventLoop reads = new ReadTrackingEventLoop(new MonotonicClock());
         try {
             EventLoop loop = reads.loop();
             InetSocketAddress here = new InetSocketAddress(config.listen().getAddress(), 0);
@@ -82,7 +91,7 @@
                             channel.pipeline()
                                     .addLast(
                                             new HttpServerCodec(),
-                                            new HttpObjectAggregator(Headers.MAX_BODY),
+                                            new HttpObjectAggregator(HeaderNames.MAX_BODY),
                                             new Stage());
                         }
                     })
@@ -94,29 +103,29 @@
                     config.elsewhere(here, stage, list(stage)),
                     module,
                     reads,
-                    Discovery.Patience.USUAL,
-                    Discovery.backoff());
+                    WatchTimeouts.USUAL,
+                    DiscoveryWatch.backoff());
             second.start();
-            Bootstrap clients = Connector.http(loop, 1_000, Headers.MAX_BODY, Client::new);
+            Bootstrap clients = ClientBootstraps.http(loop, 1_000, HeaderNames.MAX_BODY, Client::new);
             for (int i = 0; i < CLIENTS; i++) {
                 clients.connect(second.listening());
             }
             over.await(LONGEST_MS, TimeUnit.MILLISECONDS);
         } catch (Exception | Error e) {
-            Log.trouble("no rehearsal", e);
+            SidecarLog.trouble("no rehearsal", e);
         } finally {
             reads.end();
         }
         return answered;
     }
 
-    private static UpstreamList list(InetSocketAddress stage) {
-        List<UpstreamList.Entry> entries = new ArrayList<>();
+    private static EndpointList list(InetSocketAddress stage) {
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
             entries.add(
-                    new UpstreamList.Entry(new Upstream("stage-" + i, "", "", -1, 0, 1, UpstreamState.READY), stage));
+                    new EndpointList.Entry(new Endpoint("stage-" + i, "", "", -1, 0, 1, EndpointState.READY), stage));
         }
-        return new UpstreamList(1, true, entries);
+        return new EndpointList(1, true, entries);
     }
 
     /** Upstream and discovery in one. A watch that may wait is left waiting, as where nothing changes. */
@@ -135,7 +144,7 @@
                     Unpooled.copiedBuffer(load, StandardCharsets.US_ASCII));
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, load.length())
-                    .set(Headers.LOAD, load);
+                    .set(HeaderNames.LOAD, load);
             ctx.writeAndFlush(response);
         }
 
@@ -164,16 +173,16 @@
             List<RequestClass> classes = config.settings().classes();
             RequestClass c = classes.get(begun++ % classes.size());
             FullHttpRequest request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, c.semantics() == Semantics.SAFE ? HttpMethod.GET : HttpMethod.POST, "/api");
+                    HttpVersion.HTTP_1_1, c.semantics() == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST, "/api");
             request.headers()
                     .set(HttpHeaderNames.HOST, "api.internal")
-                    .set(Headers.TXN, "rehearsal-" + begun)
-                    .set(Headers.CLASS, c.name())
-                    .set(Headers.REMAINING, Math.max(1, c.deadlineUs() / 1000))
-                    .set(HttpHeaderNames.COOKIE, Headers.KEY_COOKIE + "=" + begun)
+                    .set(HeaderNames.TXN, "rehearsal-" + begun)
+                    .set(HeaderNames.CLASS, c.name())
+                    .set(HeaderNames.REMAINING, Math.max(1, c.deadlineUs() / 1000))
+                    .set(HttpHeaderNames.COOKIE, HeaderNames.KEY_COOKIE + "=" + begun)
                     .set(HttpHeaderNames.CONTENT_LENGTH, 0);
-            if (c.semantics() == Semantics.KEYED) {
-                request.headers().set(Headers.IDEMPOTENCY_KEY, "rehearsal-" + begun);
+            if (c.semantics() == Idempotency.KEYED) {
+                request.headers().set(HeaderNames.IDEMPOTENCY_KEY, "rehearsal-" + begun);
             }
             ctx.writeAndFlush(request);
         }
--- a/src/main/java/rushproxy/sidecar/NettyLog.java
+++ b/src/main/java/loadbalancer/proxy/observability/NettyLoggerFactory.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.observability;
 
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import io.netty.util.internal.logging.FormattingTuple;
@@ -10,10 +10,10 @@
  * Netty's warnings and errors as lines of this program's log, and nothing below them. Without it Netty looks for three
  * logging libraries that are not there, class by class in the archive, and then starts the JDK's own.
  */
-final class NettyLog extends InternalLoggerFactory {
+public final class NettyLoggerFactory extends InternalLoggerFactory {
     /** Before Netty's first class is used. */
-    static void install() {
-        InternalLoggerFactory.setDefaultFactory(new NettyLog());
+    public static void install() {
+        InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory());
     }
 
     @Override
@@ -30,9 +30,9 @@
 
         private void line(String text, Throwable cause) {
             if (cause == null) {
-                Log.line(name() + ": " + text);
+                SidecarLog.line(name() + ": " + text);
             } else {
-                Log.trouble(name() + ": " + text, cause);
+                SidecarLog.trouble(name() + ": " + text, cause);
             }
         }
 
--- a/src/main/java/rushproxy/sidecar/Log.java
+++ b/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.observability;
 
 import java.util.ArrayDeque;
 
@@ -7,7 +7,7 @@
  * own: where nobody reads the other end of the pipe, a write blocks, and the event loop must not. Lines beyond
  * {@link #MOST_WAITING} are dropped, and their number is told once there is room again.
  */
-final class Log {
+public final class SidecarLog {
     static final int MOST_WAITING = 1_024;
     private static final long MOST_DRAIN_MS = 500;
 
@@ -17,14 +17,14 @@
     private static boolean writing;
 
     static {
-        Thread writer = new Thread(Log::write, "log");
+        Thread writer = new Thread(SidecarLog::write, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    private Log() {}
+    private SidecarLog() {}
 
-    static void line(String text) {
+    public static void line(String text) {
         synchronized (LOCK) {
             if (WAITING.size() >= MOST_WAITING) {
                 dropped++;
@@ -36,7 +36,7 @@
     }
 
     /** A fault of this program: with the lines at which it arose. */
-    static void trouble(String what, Throwable e) {
+    public static void trouble(String what, Throwable e) {
         StringBuilder text = new StringBuilder(what).append(": ").append(e);
         StackTraceElement[] trace = e.getStackTrace();
         for (int i = 0; i < Math.min(4, trace.length); i++) {
@@ -46,7 +46,7 @@
     }
 
     /** Before the process ends: waits until all lines are out, not for ever where nobody reads them. */
-    static void drain() throws InterruptedException {
+    public static void drain() throws InterruptedException {
         long until = System.nanoTime() + MOST_DRAIN_MS * 1_000_000;
         synchronized (LOCK) {
             for (long leftMs = MOST_DRAIN_MS; leftMs > 0 && (writing || !WAITING.isEmpty()); ) {
@@ -60,7 +60,7 @@
         try {
             while (true) {
                 String line = next();
-                System.err.println("rushproxy: " + line);
+                System.err.println("load-balancer: " + line);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/rushproxy/sidecar/StartPhases.java
+++ b/src/main/java/loadbalancer/proxy/observability/StartupTimer.java
@@ -1,11 +1,11 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.observability;
 
 import java.io.FileInputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
 /** Where the time of a start goes: by phase, in milliseconds that passed and in milliseconds of processor time. */
-final class StartPhases {
+public final class StartupTimer {
     /** User and system time of the process, in ticks of 10 ms: fields 14 and 15 of {@code proc(5)}'s stat. */
     private static final String ACCOUNT = "/proc/self/stat";
 
@@ -17,11 +17,11 @@
     private long usedMs = processorMs();
 
     /** What the Java machine itself has used until then; called first thing in {@code main}. */
-    StartPhases() {
+    public StartupTimer() {
         phases.append("the Java machine used ").append(usedMs).append(" ms");
     }
 
-    void done(String phase) {
+    public void done(String phase) {
         long now = System.nanoTime();
         long used = processorMs();
         phases.append(", ")
--- a/src/main/java/rushproxy/sidecar/Totals.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -1,14 +1,14 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.observability;
 
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.StringJoiner;
 import java.util.TreeMap;
-import rushproxy.Balancer.Outcome;
+import loadbalancer.decision.AttemptOutcome;
 
 /** What was counted since the last line in the log, for a comparison of good stretches with bad ones. */
-final class Totals {
-    private final Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
+public final class TrafficStatistics {
+    private final Map<AttemptOutcome, Integer> outcomes = new EnumMap<>(AttemptOutcome.class);
     /** By class: a total can look well while one class is hardly served. */
     private final Map<String, Counts> classes = new TreeMap<>();
 
@@ -31,55 +31,55 @@
         return classes.computeIfAbsent(requestClass, c -> new Counts());
     }
 
-    void taken(String requestClass) {
+    public void taken(String requestClass) {
         of(requestClass).taken++;
     }
 
-    void served(String requestClass) {
+    public void served(String requestClass) {
         of(requestClass).served++;
     }
 
-    void refused(String requestClass) {
+    public void refused(String requestClass) {
         of(requestClass).refused++;
     }
 
-    void failed() {
+    public void failed() {
         failed++;
     }
 
     /** The client went away before its answer. */
-    void left() {
+    public void left() {
         left++;
     }
 
     /** A request's first attempt, so long after the request was taken. */
-    void begun(long afterUs) {
+    public void begun(long afterUs) {
         begun++;
         heldUs += afterUs;
         worstHeldUs = Math.max(worstHeldUs, afterUs);
     }
 
-    void outcome(Outcome outcome) {
+    public void outcome(AttemptOutcome outcome) {
         outcomes.merge(outcome, 1, Integer::sum);
     }
 
     /** A connection of the application. */
-    void accepted() {
+    public void accepted() {
         accepted++;
     }
 
     /** A connection to an upstream was begun. */
-    void dialled() {
+    public void dialled() {
         dialled++;
     }
 
     /** What makes the event loop late makes every answer late: too little of the core, a pause, or a fault here. */
-    void lag(long us) {
+    public void lag(long us) {
         worstLagUs = Math.max(worstLagUs, us);
     }
 
     /** All of it in one line, and from the start again; null where nothing happened. */
-    String line(int open, int clients, int upstreams) {
+    public String line(int open, int clients, int upstreams) {
         if (classes.isEmpty() && accepted + dialled + open == 0) {
             worstLagUs = 0;
             return null;
--- a/src/main/java/rushproxy/sidecar/UpstreamList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -1,31 +1,32 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.protocol;
 
 import io.netty.util.NetUtil;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import rushproxy.Balancer.Upstream;
-import rushproxy.Balancer.UpstreamState;
+import loadbalancer.decision.Endpoint;
+import loadbalancer.decision.EndpointState;
 
 /** A list of upstreams, or of changes, in discovery's form. */
-record UpstreamList(long generation, boolean whole, List<Entry> entries) {
+public record EndpointList(long generation, boolean whole, List<Entry> entries) {
 
-    record Entry(Upstream upstream, InetSocketAddress address) {}
+    /** One endpoint and the address that it listens on. */
+    public record Entry(Endpoint upstream, InetSocketAddress address) {}
 
     /** Module time runs on from Unix time, so a start needs no more than its unit changed. */
-    static UpstreamList of(Json json) {
+    public static EndpointList of(JsonObject json) {
         List<Entry> entries = new ArrayList<>();
-        for (Json e : json.objects("instances")) {
-            UpstreamState state =
+        for (JsonObject e : json.objects("instances")) {
+            EndpointState state =
                     switch (e.text("lifecycle")) {
-                        case "Ready" -> UpstreamState.READY;
-                        case "Terminating" -> UpstreamState.DRAINING;
-                        case "Gone" -> UpstreamState.GONE;
+                        case "Ready" -> EndpointState.READY;
+                        case "Terminating" -> EndpointState.DRAINING;
+                        case "Gone" -> EndpointState.GONE;
                         default -> throw new IllegalArgumentException(
                                 "lifecycle '" + e.text("lifecycle") + "' is unknown");
                     };
             entries.add(new Entry(
-                    new Upstream(
+                    new Endpoint(
                             e.text("instanceId"),
                             e.textOr("zone", ""),
                             e.textOr("machineType", ""),
@@ -35,11 +36,11 @@
                             state),
                     address(e.text("hostPort"))));
         }
-        return new UpstreamList(json.number("generation"), json.flag("reset"), entries);
+        return new EndpointList(json.number("generation"), json.flag("reset"), entries);
     }
 
     /** An address in numbers: there is no DNS, and nothing here may block on a look-up. */
-    static InetSocketAddress address(String text) {
+    public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (host == null) {
--- a/src/main/java/rushproxy/sidecar/HeaderValues.java
+++ b/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
@@ -1,10 +1,10 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.protocol;
 
 /**
  * Checks and reads single header values and request targets, character by character: each is read with every request,
  * also in the first seconds of a process, when a regular expression of the same meaning takes many times as long.
  */
-final class HeaderValues {
+public final class HeaderValues {
     private static final int MOST_WORD = 128;
     private static final int MOST_TARGET = 4096;
     private static final int MOST_DIGITS = 9;
@@ -13,12 +13,12 @@
     private HeaderValues() {}
 
     /** One to 128 visible ASCII characters. */
-    static boolean isWord(String text) {
+    public static boolean isWord(String text) {
         return !text.isEmpty() && text.length() <= MOST_WORD && visible(text);
     }
 
     /** A path that begins with a slash, of visible ASCII characters, 4,096 at most. */
-    static boolean isTarget(String text) {
+    public static boolean isTarget(String text) {
         return text.startsWith("/") && text.length() <= MOST_TARGET && visible(text);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** A whole number of one to nine digits; -1 where there is none. */
-    static long whole(String text) {
+    public static long whole(String text) {
         if (text.isEmpty() || text.length() > MOST_DIGITS) {
             return -1;
         }
@@ -49,7 +49,7 @@
     }
 
     /** One to sixteen hexadecimal digits as their number, any other text as its hash. */
-    static long hexOrHash(String text) {
+    public static long hexOrHash(String text) {
         if (text.isEmpty() || text.length() > MOST_HEX_DIGITS) {
             return text.hashCode();
         }
@@ -63,13 +63,13 @@
     }
 
     /** A request's path: its target up to the question mark. */
-    static String path(String target) {
+    public static String path(String target) {
         int question = target.indexOf('?');
         return question < 0 ? target : target.substring(0, question);
     }
 
     /** Seconds with three decimals, as {@code Retry-After} is written here. */
-    static String seconds(long us) {
+    public static String seconds(long us) {
         long ms = (us + 500) / 1000;
         String decimals = Long.toString(1000 + ms % 1000).substring(1);
         return ms / 1000 + "." + decimals;
--- a/src/main/java/rushproxy/sidecar/Json.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.protocol;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,18 +11,18 @@
 import java.util.TreeMap;
 
 /** Reads JSON objects field by field; a field of the wrong kind is named in the exception. */
-final class Json {
+public final class JsonObject {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private final Map<String, Object> fields;
 
-    private Json(Map<String, Object> fields) {
+    private JsonObject(Map<String, Object> fields) {
         this.fields = fields;
     }
 
-    static Json parse(byte[] text) {
+    public static JsonObject parse(byte[] text) {
         try {
-            return new Json(read(text));
+            return new JsonObject(read(text));
         } catch (IOException e) {
             String reason = String.valueOf(e.getMessage());
             throw new IllegalArgumentException(
@@ -70,15 +70,15 @@
         };
     }
 
-    boolean has(String name) {
+    public boolean has(String name) {
         return fields.get(name) != null;
     }
 
-    String text(String name) {
+    public String text(String name) {
         return of(name, String.class, "a text");
     }
 
-    String textOr(String name, String absent) {
+    public String textOr(String name, String absent) {
         return has(name) ? text(name) : absent;
     }
 
@@ -86,7 +86,7 @@
         return of(name, Number.class, "a number").longValue();
     }
 
-    long numberOr(String name, long absent) {
+    public long numberOr(String name, long absent) {
         return has(name) ? number(name) : absent;
     }
 
@@ -99,25 +99,25 @@
     }
 
     @SuppressWarnings("unchecked")
-    Json object(String name) {
-        return new Json(of(name, Map.class, "an object"));
+    public JsonObject object(String name) {
+        return new JsonObject(of(name, Map.class, "an object"));
     }
 
     @SuppressWarnings("unchecked")
-    List<Json> objects(String name) {
+    List<JsonObject> objects(String name) {
         return ((List<Object>) of(name, List.class, "a list"))
                 .stream()
                         .map(o -> {
                             if (!(o instanceof Map)) {
                                 throw new IllegalArgumentException("'" + name + "' holds what is no object");
                             }
-                            return new Json((Map<String, Object>) o);
+                            return new JsonObject((Map<String, Object>) o);
                         })
                         .toList();
     }
 
     @SuppressWarnings("unchecked")
-    List<String> textsOrNone(String name) {
+    public List<String> textsOrNone(String name) {
         return has(name)
                 ? ((List<Object>) of(name, List.class, "a list"))
                         .stream().map(String::valueOf).toList()
@@ -136,7 +136,7 @@
     }
 
     /** All values by their paths, in the form of the simulator's pairs. */
-    Map<String, String> flat() {
+    public Map<String, String> flat() {
         Map<String, String> out = new TreeMap<>();
         flatten("", fields, out);
         return out;
--- a/src/main/java/rushproxy/sidecar/LoadReports.java
+++ b/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
@@ -1,22 +1,22 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.protocol;
 
-import rushproxy.Balancer.LoadReport;
-import rushproxy.wire.LoadValues;
+import loadbalancer.decision.LoadReport;
+import loadbalancer.input.LoadReportFields;
 
 /** Reads a load report of the form {@code TEXT inflight=7, queue=2, util=0.61}. */
-final class LoadReports {
+public final class LoadReportParser {
     private static final String FORM = "TEXT ";
     /** No upstream holds more: one figure out of this world, once believed, would keep its upstream out for good. */
     private static final double MOST = 10_000;
 
-    private LoadReports() {}
+    private LoadReportParser() {}
 
     /** Null where the text is no such report: a malformed one says nothing of its upstream. */
-    static LoadReport read(String text) {
+    public static LoadReport read(String text) {
         if (text == null || !text.startsWith(FORM)) {
             return null;
         }
-        LoadValues values = new LoadValues();
+        LoadReportFields values = new LoadReportFields();
         for (String pair : text.substring(FORM.length()).split(",")) {
             int equals = pair.indexOf('=');
             if (equals < 0) {
--- a/src/main/java/rushproxy/sidecar/Answers.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.CorruptedFrameException;
@@ -14,10 +14,10 @@
  * Puts answers together whose end their own head tells. One that ends with its connection can't be told from one cut
  * short, one of unheard-of length is none, and after a switch of protocols no answer follows: all are spoilt.
  */
-final class Answers extends HttpObjectAggregator {
+final class ResponseAggregator extends HttpObjectAggregator {
     private boolean open;
 
-    Answers(int maxBody) {
+    ResponseAggregator(int maxBody) {
         super(maxBody);
     }
 
--- a/src/main/java/rushproxy/sidecar/AnswerDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -1,24 +1,25 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.upstream;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
+import loadbalancer.proxy.protocol.StrictFraming;
 
 /** Takes answers apart, none of them by guess, and knows whether bytes are left that belong to none. */
-final class AnswerDecoder extends HttpResponseDecoder {
-    AnswerDecoder() {
+final class ResponseDecoder extends HttpResponseDecoder {
+    ResponseDecoder() {
         super(new HttpDecoderConfig().setStrictLineParsing(true));
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw Framing.twoFramings();
+        throw StrictFraming.twoFramings();
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        Framing.checkName(line, start, length);
+        StrictFraming.checkName(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 
--- a/src/main/java/rushproxy/sidecar/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.upstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -16,9 +16,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import rushproxy.Balancer.LoadReport;
-import rushproxy.Balancer.Outcome;
-import rushproxy.sidecar.Upstreams.Call;
+import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.LoadReport;
+import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.LoadReportParser;
 
 /**
  * One connection to an upstream: one call at a time, and what comes back told as its outcome. It is believed as long as
@@ -27,11 +28,11 @@
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     static final AttributeKey<UpstreamConnection> KEY = AttributeKey.valueOf(UpstreamConnection.class, "connection");
 
-    private final AnswerDecoder decoder = new AnswerDecoder();
-    private final Answers answers = new Answers(Headers.MAX_ANSWER);
+    private final ResponseDecoder decoder = new ResponseDecoder();
+    private final ResponseAggregator answers = new ResponseAggregator(HeaderNames.MAX_ANSWER);
     long idleSinceUs;
-    private Call call;
-    private BiConsumer<Call, Channel> release;
+    private UpstreamCall call;
+    private BiConsumer<UpstreamCall, Channel> release;
     /** The answer to the call, kept until all that came with it has been looked at. */
     private FullHttpResponse answer;
 
@@ -55,7 +56,7 @@
         p.addLast(new HttpRequestEncoder(), connection.decoder, connection.answers, connection);
     }
 
-    void begin(Call next, BiConsumer<Call, Channel> whenFree) {
+    void begin(UpstreamCall next, BiConsumer<UpstreamCall, Channel> whenFree) {
         call = next;
         release = whenFree;
     }
@@ -122,7 +123,7 @@
 
     private void deliver(ChannelHandlerContext ctx) {
         FullHttpResponse response = answer;
-        Call current = call;
+        UpstreamCall current = call;
         answer = null;
         call = null;
         calm();
@@ -138,33 +139,35 @@
         }
     }
 
-    private static void tell(Call current, FullHttpResponse response) {
-        Outcome outcome = outcome(response);
-        LoadReport report = LoadReports.read(
+    private static void tell(UpstreamCall current, FullHttpResponse response) {
+        AttemptOutcome outcome = outcome(response);
+        LoadReport report = LoadReportParser.read(
                 current.reportInBody()
                         ? response.content().toString(StandardCharsets.UTF_8)
-                        : response.headers().get(Headers.LOAD));
-        if (current.reportInBody() && outcome == Outcome.OK && report == null) {
+                        : response.headers().get(HeaderNames.LOAD));
+        if (current.reportInBody() && outcome == AttemptOutcome.OK && report == null) {
             // A probe whose report can't be read tells neither of load nor of a server without reports.
-            outcome = Outcome.SPOILT;
+            outcome = AttemptOutcome.SPOILT;
         }
-        if (!current.written() && (outcome == Outcome.OK || outcome == Outcome.ERROR)) {
+        if (!current.written() && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
             // It can't answer what it has not got: this was meant for somebody else.
             current.spoilt();
         } else {
-            current.end(outcome, report, outcome == Outcome.OK ? response.content() : null);
+            current.end(outcome, report, outcome == AttemptOutcome.OK ? response.content() : null);
         }
     }
 
-    private static Outcome outcome(FullHttpResponse response) {
+    private static AttemptOutcome outcome(FullHttpResponse response) {
         HttpHeaders headers = response.headers();
         int code = response.status().code();
         return switch (code) {
-            case 200 -> Outcome.OK;
-            case 503, 504 -> "1".equals(headers.get(Headers.TURNED_AWAY)) ? Outcome.REJECTED : Outcome.ERROR;
+            case 200 -> AttemptOutcome.OK;
+            case 503, 504 -> "1".equals(headers.get(HeaderNames.TURNED_AWAY))
+                    ? AttemptOutcome.REJECTED
+                    : AttemptOutcome.ERROR;
                 // What the client sent was no good: that is not the upstream's fault, and no other would like it
                 // better.
-            default -> code >= 400 && code < 500 ? Outcome.INVALID : Outcome.ERROR;
+            default -> code >= 400 && code < 500 ? AttemptOutcome.INVALID : AttemptOutcome.ERROR;
         };
     }
 
@@ -177,7 +180,7 @@
 
     /** No answer that can be told from noise. The request may have run, and the connection is of no more use. */
     private void spoil(ChannelHandlerContext ctx) {
-        Call current = call;
+        UpstreamCall current = call;
         call = null;
         calm();
         ctx.close();
@@ -191,7 +194,7 @@
         if (answer != null) {
             deliver(ctx);
         }
-        Call current = call;
+        UpstreamCall current = call;
         call = null;
         calm();
         if (current != null) {
--- a/src/main/java/rushproxy/sidecar/Upstreams.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -1,14 +1,12 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.upstream;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.EncoderException;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -18,13 +16,17 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
-import java.util.function.LongFunction;
-import rushproxy.Balancer.LoadReport;
-import rushproxy.Balancer.Outcome;
-import rushproxy.Balancer.UpstreamState;
+import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.EndpointState;
+import loadbalancer.proxy.eventloop.ClientBootstraps;
+import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.observability.TrafficStatistics;
+import loadbalancer.proxy.protocol.EndpointList;
 
 /** Connections to the upstreams, and the calls on them: attempts and probes. */
-final class Upstreams {
+public final class UpstreamConnectionPool {
     /** Idle connections are dropped this much before an upstream may drop them: a request then can't cross it. */
     private static final long IDLE_MARGIN_US = 2_000_000;
 
@@ -33,157 +35,55 @@
      * A connection rests after its answer before it carries the next request: an upstream that answers twice does so
      * some milliseconds apart, and a second answer behind the next request would be taken for that one's.
      */
-    static final long REST_US = 30_000;
-
-    /** Told once how a call ended; {@code body} is set with {@code OK} alone and is released afterwards. */
-    interface Result {
-        void ended(Call call, Outcome outcome, LoadReport report, ByteBuf body);
-    }
-
-    /** One message to an upstream, until its outcome. */
-    static final class Call {
-        final String upstream;
-        private final long untilUs;
-        /** Makes the message, told how long an answer is waited for. */
-        private final LongFunction<FullHttpRequest> message;
-
-        private final Result result;
-        private final boolean reportInBody;
-        long sentUs;
-        private Target target;
-        private Channel channel;
-        private Future<?> timeout;
-        private boolean written;
-        /** Null while it is out. */
-        private Outcome outcome;
-        /** When its end was told; 0 where nobody noted it. */
-        long endedUs;
-
-        Call(
-                String upstream,
-                long untilUs,
-                boolean reportInBody,
-                LongFunction<FullHttpRequest> message,
-                Result result) {
-            this.upstream = upstream;
-            this.untilUs = untilUs;
-            this.message = message;
-            this.reportInBody = reportInBody;
-            this.result = result;
-        }
-
-        /** True for a probe, whose answer's body is the load report. */
-        boolean reportInBody() {
-            return reportInBody;
-        }
-
-        boolean ended() {
-            return outcome != null;
-        }
-
-        Outcome outcome() {
-            return outcome;
-        }
-
-        /** Whether the last byte of the message is out. */
-        boolean written() {
-            return written;
-        }
-
-        void end(Outcome how, LoadReport report, ByteBuf body) {
-            if (ended()) {
-                return;
-            }
-            outcome = how;
-            if (timeout != null) {
-                timeout.cancel(false);
-            }
-            result.ended(this, how, report, body);
-        }
-
-        /** Ends a call that gets no answer any more: a late one must find nobody, so its connection goes. */
-        private void abandon(Outcome outcome) {
-            if (!ended()) {
-                if (channel != null) {
-                    channel.close();
-                }
-                end(outcome, null, null);
-            }
-        }
-
-        void cancel() {
-            abandon(Outcome.CANCELLED);
-        }
-
-        /** Nobody wants it any more: without its last byte written it has not run, and now it never will. */
-        void withdraw() {
-            if (!written) {
-                abandon(Outcome.NOT_SENT);
-            }
-        }
-
-        /** The hinge of all outcomes: without its last byte written a request has never run. */
-        void broke() {
-            end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
-        }
-
-        /** What came is no answer; without its last byte written the request has not run all the same. */
-        void spoilt() {
-            end(written ? Outcome.SPOILT : Outcome.CONNECT_FAILED, null, null);
-        }
-
-        private void timedOut() {
-            abandon(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
-        }
-    }
+    public static final long REST_US = 30_000;
 
     /** An upstream as the list has it now; another address or start makes it another one. */
-    private static final class Target {
+    static final class Target {
         final InetSocketAddress address;
         final long startedUs;
-        UpstreamState state;
+        EndpointState state;
         final ArrayDeque<Channel> idle = new ArrayDeque<>();
 
-        Target(UpstreamList.Entry entry) {
+        Target(EndpointList.Entry entry) {
             address = entry.address();
             startedUs = entry.upstream().startedUs();
         }
 
-        boolean is(UpstreamList.Entry entry) {
+        boolean is(EndpointList.Entry entry) {
             return address.equals(entry.address())
                     && startedUs == entry.upstream().startedUs();
         }
     }
 
     private final EventLoop loop;
-    private final Clock clock;
-    private final ReadTrackingLoop reads;
+    private final MonotonicClock clock;
+    private final ReadTrackingEventLoop reads;
     private long idleUs;
     private long stallUs;
     private final long restUs;
     /** How many connections may be open now: what others leave of the descriptors. */
     private final IntSupplier maxConnections;
 
-    private final Totals totals;
+    private final TrafficStatistics totals;
     private final Bootstrap bootstrap;
     private final Map<String, Target> targets = new HashMap<>();
     private int connections;
 
-    Upstreams(
-            ReadTrackingLoop reads,
+    public UpstreamConnectionPool(
+            ReadTrackingEventLoop reads,
             long connIdleUs,
             long restUs,
             long dialTimeoutUs,
             long stallUs,
             IntSupplier maxConnections,
-            Totals totals) {
+            TrafficStatistics totals) {
         this.reads = reads;
         loop = reads.loop();
         clock = reads.clock();
         this.maxConnections = maxConnections;
         this.totals = totals;
         this.restUs = restUs;
-        bootstrap = Connector.tcp(loop, 1, channel -> UpstreamConnection.on(channel, this.stallUs));
+        bootstrap = ClientBootstraps.tcp(loop, 1, channel -> UpstreamConnection.on(channel, this.stallUs));
         allow(connIdleUs, dialTimeoutUs, stallUs);
         loop.scheduleWithFixedDelay(
                 () -> FaultBarrier.passes("the sweep of idle connections", this::dropIdle),
@@ -193,16 +93,16 @@
     }
 
     /** For connections from now on, but the idle time, which ends those too that are idle now. */
-    void allow(long connIdleUs, long dialTimeoutUs, long stalledUs) {
+    public void allow(long connIdleUs, long dialTimeoutUs, long stalledUs) {
         idleUs = Math.max(connIdleUs / 2, connIdleUs - IDLE_MARGIN_US);
         stallUs = stalledUs;
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1000));
     }
 
     /** Connections to what drained, went or is now another process are of no more use. */
-    void update(UpstreamList list) {
+    public void update(EndpointList list) {
         Set<String> named = new HashSet<>();
-        for (UpstreamList.Entry e : list.entries()) {
+        for (EndpointList.Entry e : list.entries()) {
             String id = e.upstream().id();
             named.add(id);
             Target t = targets.get(id);
@@ -212,10 +112,10 @@
                 targets.put(id, t);
             }
             t.state = e.upstream().state();
-            if (t.state != UpstreamState.READY) {
+            if (t.state != EndpointState.READY) {
                 close(t);
             }
-            if (t.state == UpstreamState.GONE) {
+            if (t.state == EndpointState.GONE) {
                 // Its successors come under new ids: kept, the map would grow with each of them.
                 targets.remove(id);
             }
@@ -237,17 +137,17 @@
     }
 
     /** How many connections are open or coming up. */
-    int open() {
+    public int open() {
         return connections;
     }
 
-    boolean anyReady() {
-        return targets.values().stream().anyMatch(t -> t.state == UpstreamState.READY);
+    public boolean anyReady() {
+        return targets.values().stream().anyMatch(t -> t.state == EndpointState.READY);
     }
 
     private void forget(Target t) {
         if (t != null) {
-            t.state = UpstreamState.GONE;
+            t.state = EndpointState.GONE;
             close(t);
         }
     }
@@ -258,19 +158,19 @@
         }
     }
 
-    void close(String upstream) {
+    public void close(String upstream) {
         Target t = targets.get(upstream);
         if (t != null) {
             close(t);
         }
     }
 
-    void start(Call call) {
+    public void start(UpstreamCall call) {
         long now = clock.now();
-        call.sentUs = now;
-        call.target = targets.get(call.upstream);
-        if (call.target == null || call.target.state != UpstreamState.READY) {
-            call.end(Outcome.NOT_SENT, null, null);
+        call.sentAt(now);
+        call.target = targets.get(call.upstream());
+        if (call.target == null || call.target.state != EndpointState.READY) {
+            call.end(AttemptOutcome.NOT_SENT, null, null);
             return;
         }
         call.timeout = loop.schedule(call::timedOut, call.untilUs - now, TimeUnit.MICROSECONDS);
@@ -278,7 +178,7 @@
     }
 
     /** Unless it was withdrawn, or its upstream changed, while what else had come was read. */
-    private void begin(Call call) {
+    private void begin(UpstreamCall call) {
         if (mayBegin(call)) {
             Channel channel = takeIdle(call.target, clock.now());
             if (channel != null) {
@@ -291,10 +191,10 @@
     }
 
     /** False where it is over, or ends here: the list changed or time ran out, and nothing may be sent any more. */
-    private boolean mayBegin(Call call) {
-        boolean ready = call.target.state == UpstreamState.READY;
+    private boolean mayBegin(UpstreamCall call) {
+        boolean ready = call.target.state == EndpointState.READY;
         if (!call.ended() && (!ready || clock.now() >= call.untilUs)) {
-            call.abandon(ready ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT);
+            call.abandon(ready ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT);
         }
         return !call.ended();
     }
@@ -325,9 +225,9 @@
         return c.attr(UpstreamConnection.KEY).get();
     }
 
-    private void connect(Call call) {
+    private void connect(UpstreamCall call) {
         if (connections >= maxConnections.getAsInt() && !dropOldestIdle()) {
-            call.end(Outcome.NOT_SENT, null, null);
+            call.end(AttemptOutcome.NOT_SENT, null, null);
             return;
         }
         connections++;
@@ -356,7 +256,7 @@
     }
 
     /** False where every connection is in use. */
-    boolean dropOldestIdle() {
+    public boolean dropOldestIdle() {
         Target oldest = null;
         for (Target t : targets.values()) {
             if (!t.idle.isEmpty()
@@ -372,7 +272,7 @@
         return oldest != null;
     }
 
-    private void write(Call call) {
+    private void write(UpstreamCall call) {
         FullHttpRequest message = call.message.apply(call.untilUs - clock.now());
         message.headers()
                 .set("Host", "api.internal")
@@ -384,13 +284,16 @@
             } else {
                 call.channel.close();
                 // What can't be put into words is its client's fault: no upstream has seen it.
-                call.end(f.cause() instanceof EncoderException ? Outcome.INVALID : Outcome.CONNECT_FAILED, null, null);
+                call.end(
+                        f.cause() instanceof EncoderException ? AttemptOutcome.INVALID : AttemptOutcome.CONNECT_FAILED,
+                        null,
+                        null);
             }
         });
     }
 
-    private void release(Call call, Channel channel) {
-        if (call.target.state == UpstreamState.READY && call.written) {
+    private void release(UpstreamCall call, Channel channel) {
+        if (call.target.state == EndpointState.READY && call.written) {
             connection(channel).idleSinceUs = clock.now();
             connection(channel).restUntil(restUs > 0 ? clock.now() + restUs : 0);
             call.target.idle.addFirst(channel);
--- /dev/null
+++ b/src/main/java/loadbalancer/settings/Idempotency.java
@@ -0,0 +1,8 @@
+package loadbalancer.settings;
+
+/** May a request be repeated: always, with its key within a window, or never. */
+public enum Idempotency {
+    SAFE,
+    KEYED,
+    UNSAFE
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/settings/LoadReporting.java
@@ -0,0 +1,8 @@
+package loadbalancer.settings;
+
+/** How upstreams tell their load: not at all, with each answer, or when asked. */
+public enum LoadReporting {
+    NONE,
+    INLINE,
+    ON_PROBE
+}
--- a/src/main/java/rushproxy/simulation/Rows.java
+++ b/src/main/java/loadbalancer/simulation/CsvRows.java
@@ -1,17 +1,17 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
 /** What was measured, a row each, as CSV. */
-final class Rows {
+final class CsvRows {
     static final String HEAD = "measure,sidecars,servers,value,unit,how";
 
     private final List<String> rows = new ArrayList<>();
 
     /** {@code how}: "module" is the real module alone, "model" a simulated fleet. */
-    void add(String measure, Shape of, double value, String unit, String how) {
+    void add(String measure, FleetShape of, double value, String unit, String how) {
         rows.add(String.format(
                 Locale.ROOT, "%s,%d,%d,%.4g,%s,%s", measure, of.sidecars(), of.servers(), value, unit, how));
     }
--- a/src/main/java/rushproxy/simulation/Timeline.java
+++ b/src/main/java/loadbalancer/simulation/EventQueue.java
@@ -1,9 +1,9 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import java.util.PriorityQueue;
 
 /** One virtual clock and what happens on it, in order of time and, at one time, of its scheduling. */
-final class Timeline {
+final class EventQueue {
     private record Event(long atUs, long number, Runnable run) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -15,7 +15,7 @@
     private long nowUs;
     private long scheduled;
 
-    Timeline(long startUs) {
+    EventQueue(long startUs) {
         nowUs = startUs;
     }
 
--- a/src/main/java/rushproxy/simulation/ScaleCommand.java
+++ b/src/main/java/loadbalancer/simulation/FleetCostCommand.java
@@ -1,4 +1,4 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,13 +8,14 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code scale}: measures by sidecars and by servers what a fleet costs, and writes it as CSV. A benchmark, no test.
+ * {@code fleet-cost}: measures by sidecars and by servers what a fleet costs, and writes it as CSV. A benchmark, no
+ * test.
  */
 @Command(
-        name = "scale",
+        name = "fleet-cost",
         mixinStandardHelpOptions = true,
         description = "Measures what the module and simulated fleets of several sizes cost; writes CSV.")
-public final class ScaleCommand implements Callable<Integer> {
+public final class FleetCostCommand implements Callable<Integer> {
     @Option(
             names = "--quick",
             description = "Fleets of at most 100 sidecars, under a minute; else up to 2,400, under five.")
@@ -27,14 +28,14 @@
             description = "Where the CSV goes (default: ${DEFAULT-VALUE}).")
     private Path out;
 
-    private static Shape shape(int sidecars, int servers, double unevenness) {
-        return new Shape(sidecars, servers, 0.6, unevenness, 4_600_000, 0, 1);
+    private static FleetShape shape(int sidecars, int servers, double unevenness) {
+        return new FleetShape(sidecars, servers, 0.6, unevenness, 4_600_000, 0, 1);
     }
 
     /** 0, or 1 where the file can't be written; the command line's own errors are 2. */
     @Override
     public Integer call() {
-        Rows rows = new Rows();
+        CsvRows rows = new CsvRows();
         int[][] alone = quick
                 ? new int[][] {{100, 200}, {2400, 200}, {2400, 2400}}
                 : new int[][] {
@@ -74,8 +75,8 @@
         System.err.println(what + " of " + size[0] + " sidecars, " + size[1] + " servers ...");
     }
 
-    private static void module(Shape shape, Rows rows) {
-        ModuleCosts costs = new ModuleCosts(shape.sidecars(), shape.servers());
+    private static void module(FleetShape shape, CsvRows rows) {
+        PolicyCosts costs = new PolicyCosts(shape.sidecars(), shape.servers());
         double clock = costs.clockUs();
         rows.add("heap of one module", shape, costs.heapBytes() / 1024.0, "KB", "module");
         rows.add("request", shape, costs.requestUs() - clock, "us", "module");
--- a/src/main/java/rushproxy/simulation/FleetCosts.java
+++ b/src/main/java/loadbalancer/simulation/FleetCosts.java
@@ -1,4 +1,4 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import java.util.stream.IntStream;
 
@@ -7,10 +7,10 @@
     /** A module says its estimates every 5 s: each has, shortly after that. */
     private static final double SETTLED_S = 5.5;
 
-    private final Shape shape;
-    private final Rows rows;
+    private final FleetShape shape;
+    private final CsvRows rows;
 
-    FleetCosts(Shape shape, Rows rows) {
+    FleetCosts(FleetShape shape, CsvRows rows) {
         this.shape = shape;
         this.rows = rows;
     }
--- a/src/main/java/rushproxy/simulation/Ignoring.java
+++ b/src/main/java/loadbalancer/simulation/NoOpActions.java
@@ -1,9 +1,9 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
-import rushproxy.Balancer;
+import loadbalancer.decision.LoadBalancerActions;
 
 /** Actions that the models have nothing to do for: no probes, watches, connections or operators here. */
-class Ignoring implements Balancer.Actions {
+class NoOpActions implements LoadBalancerActions {
     @Override
     public void send(String request, String upstream, long untilUs) {}
 
--- a/src/main/java/rushproxy/simulation/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedFleet.java
@@ -1,9 +1,9 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import rushproxy.Balancer.Upstream;
+import loadbalancer.decision.Endpoint;
 
 /** Sidecars, servers, their clients, discovery and the datagrams between peers, on one clock and from one seed. */
 final class SimulatedFleet {
@@ -12,23 +12,23 @@
     /** Of the worthier class; the rest are of the other. */
     private static final double SUBMITS = 0.7;
 
-    private final Shape shape;
-    private final Timeline timeline = new Timeline(START_US);
+    private final FleetShape shape;
+    private final EventQueue timeline = new EventQueue(START_US);
     private final SplittableRandom random;
-    private final List<SimulatedServer> servers = new ArrayList<>();
+    private final List<SimulatedEndpoint> servers = new ArrayList<>();
     private final List<SimulatedSidecar> sidecars = new ArrayList<>();
     private long taken;
     private long served;
     private long words;
     private long wordBytes;
 
-    SimulatedFleet(Shape shape) {
+    SimulatedFleet(FleetShape shape) {
         this.shape = shape;
         random = new SplittableRandom(shape.seed());
         for (int i = 0; i < shape.servers(); i++) {
-            servers.add(new SimulatedServer("s" + i));
+            servers.add(new SimulatedEndpoint("s" + i));
         }
-        List<Upstream> list = list();
+        List<Endpoint> list = list();
         for (int i = 0; i < shape.sidecars(); i++) {
             sidecars.add(new SimulatedSidecar(this, i));
             sidecars.get(i).start(list);
@@ -36,7 +36,7 @@
         }
     }
 
-    Shape shape() {
+    FleetShape shape() {
         return shape;
     }
 
@@ -53,8 +53,8 @@
         timeline.after(delayUs, run);
     }
 
-    private List<Upstream> list() {
-        return servers.stream().map(SimulatedServer::entry).toList();
+    private List<Endpoint> list() {
+        return servers.stream().map(SimulatedEndpoint::entry).toList();
     }
 
     private void arrive(int sidecar) {
@@ -69,7 +69,7 @@
     /** The server's process is another one from now on, under its id; each sidecar is told in its own time. */
     void restartServer(int server) {
         servers.get(server).restart(now());
-        Upstream entry = servers.get(server).entry();
+        Endpoint entry = servers.get(server).entry();
         for (SimulatedSidecar s : sidecars) {
             timeline.after((long) (random.nextDouble() * shape.listDelayUs()), () -> s.changed(entry));
         }
@@ -81,7 +81,7 @@
 
     /** Takes a request to the server and returns when it is answered. */
     long serve(String server) {
-        double work = -Math.log(1 - random.nextDouble()) * Shape.WORK_US;
+        double work = -Math.log(1 - random.nextDouble()) * FleetShape.WORK_US;
         return servers.get(Integer.parseInt(server.substring(1))).take(now(), work);
     }
 
@@ -130,7 +130,7 @@
         return wordBytes;
     }
 
-    List<SimulatedServer> servers() {
+    List<SimulatedEndpoint> servers() {
         return servers;
     }
 }
--- a/src/main/java/rushproxy/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -1,24 +1,24 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import rushproxy.Balancer.ListKind;
-import rushproxy.Balancer.Outcome;
-import rushproxy.Balancer.Request;
-import rushproxy.Balancer.Upstream;
-import rushproxy.Policy;
+import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.Endpoint;
+import loadbalancer.decision.EndpointListType;
+import loadbalancer.decision.LoadBalancingPolicy;
+import loadbalancer.decision.Request;
 
 /** One real module and what stands for its process: nothing but the carrying of its decisions to the models. */
-final class SimulatedSidecar extends Ignoring {
+final class SimulatedSidecar extends NoOpActions {
     private static final Pattern FLEET_RATE = Pattern.compile("^rate \\d+ of (\\d+) a second");
 
     private final SimulatedFleet fleet;
     private final int me;
     private final Map<String, Integer> attempts = new HashMap<>();
-    private Policy module;
+    private LoadBalancingPolicy module;
     /** Timers and answers of a process that has ended find another number here. */
     private int process;
 
@@ -31,17 +31,17 @@
     }
 
     /** A new process: it knows the list that its start brings and nothing else. */
-    void start(List<Upstream> known) {
+    void start(List<Endpoint> known) {
         process++;
         attempts.clear();
         believedRate = -1;
-        module = new Policy(
+        module = new LoadBalancingPolicy(
                 fleet.shape().settings(me), fleet.shape().seed() * 1_000_003 + me * 31L + process, fleet.now(), this);
-        module.onList(fleet.now(), ListKind.FULL, known);
+        module.onList(fleet.now(), EndpointListType.FULL, known);
     }
 
-    void changed(Upstream entry) {
-        module.onList(fleet.now(), ListKind.DELTA, List.of(entry));
+    void changed(Endpoint entry) {
+        module.onList(fleet.now(), EndpointListType.DELTA, List.of(entry));
     }
 
     void heard(int peer, byte[] word) {
@@ -51,7 +51,7 @@
     void request(String requestClass) {
         String id = me + "-" + process + "-" + requests++;
         attempts.put(id, 0);
-        module.onRequest(fleet.now(), new Request(id, -1, false, false, 0, Shape.DEADLINE_US, null, requestClass));
+        module.onRequest(fleet.now(), new Request(id, -1, false, false, 0, FleetShape.DEADLINE_US, null, requestClass));
     }
 
     /** Whatever comes of an action comes later, so none re-enters the module. */
@@ -81,7 +81,7 @@
                     request,
                     number,
                     upstream,
-                    late ? Outcome.TIMEOUT : Outcome.OK,
+                    late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
                     endUs - sentUs,
                     !late,
                     null);
--- a/src/main/java/rushproxy/wire/Fields.java
+++ b/src/main/java/loadbalancer/simulator/FieldReader.java
@@ -1,11 +1,14 @@
-package rushproxy.wire;
+package loadbalancer.simulator;
+
+import java.util.HashMap;
+import java.util.Map;
 
 /** Reads one line of the wire field by field; {@code -} stands for an absent value. */
-final class Fields {
+final class FieldReader {
     private final String line;
     private int at;
 
-    Fields(String line) {
+    FieldReader(String line) {
         this.line = line;
     }
 
@@ -13,16 +16,30 @@
         return at <= line.length() && !line.isEmpty();
     }
 
+    /** The rest of the line as {@code path=value} pairs. */
+    Map<String, String> settings() {
+        Map<String, String> values = new HashMap<>();
+        while (more()) {
+            String pair = text();
+            int equals = pair.indexOf('=');
+            if (equals <= 0) {
+                throw new SimulatorProtocolException("setting '" + pair + "' is not of the form path=value");
+            }
+            values.put(pair.substring(0, equals), pair.substring(equals + 1));
+        }
+        return values;
+    }
+
     String text() {
         if (!more()) {
-            throw new WireException("too few fields in '" + shown() + "'");
+            throw new SimulatorProtocolException("too few fields in '" + shown() + "'");
         }
         int space = line.indexOf(' ', at);
         int end = space < 0 ? line.length() : space;
         String value = line.substring(at, end);
         at = end + 1;
         if (value.isEmpty()) {
-            throw new WireException("empty field in '" + shown() + "'");
+            throw new SimulatorProtocolException("empty field in '" + shown() + "'");
         }
         return value;
     }
@@ -60,7 +77,7 @@
         long sum = 0;
         int i = n > 1 && value.charAt(0) == '-' ? 1 : 0;
         if (n - i > 18) {
-            throw new WireException("'" + value + "' is no integer in '" + shown() + "'");
+            throw new SimulatorProtocolException("'" + value + "' is no integer in '" + shown() + "'");
         }
         for (int j = i; j < n; j++) {
             char c = value.charAt(j);
@@ -69,7 +86,7 @@
                 if (d == Math.rint(d) && Math.abs(d) < 1e15) {
                     return (long) d;
                 }
-                throw new WireException("'" + value + "' is no integer in '" + shown() + "'");
+                throw new SimulatorProtocolException("'" + value + "' is no integer in '" + shown() + "'");
             }
             sum = sum * 10 + (c - '0');
         }
@@ -85,7 +102,7 @@
         } catch (NumberFormatException e) {
             // reported below
         }
-        throw new WireException("'" + value + "' is no number in '" + shown() + "'");
+        throw new SimulatorProtocolException("'" + value + "' is no number in '" + shown() + "'");
     }
 
     private String shown() {
