--- a/src/main/java/rushproxy/wire/WireException.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
-package rushproxy.wire;
+package loadbalancer.simulator;
 
 /** Input that does not follow the wire; the message is meant for a person. */
-public final class WireException extends RuntimeException {
+public final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public WireException(String message) {
+    public SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/src/test/java/rushproxy/sidecar/HeaderValuesTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/HeaderValuesTest.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
