--- a/src/test/java/rushproxy/sidecar/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -1,4 +1,4 @@
-package rushproxy.sidecar;
+package loadbalancer.proxy.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,15 +14,22 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.observability.TrafficStatistics;
+import loadbalancer.proxy.protocol.EndpointList;
+import loadbalancer.proxy.protocol.JsonObject;
+import loadbalancer.proxy.testing.SidecarFixture;
+import loadbalancer.proxy.testing.StubServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Connections and the list: everything here happens on one event loop, as in the program. */
 @Timeout(60)
-class UpstreamsTest {
-    private final Clock clock = new Clock();
-    private final ReadTrackingLoop reads = new ReadTrackingLoop(clock);
+class UpstreamConnectionPoolTest {
+    private final MonotonicClock clock = new MonotonicClock();
+    private final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(clock);
     private final EventLoop loop = reads.loop();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
@@ -31,21 +38,23 @@
         reads.end();
     }
 
-    private Upstreams upstreams(long idleUs, int most) throws Exception {
+    private UpstreamConnectionPool upstreams(long idleUs, int most) throws Exception {
         return upstreams(idleUs, most, 0);
     }
 
-    private Upstreams upstreams(long idleUs, int most, long restUs) throws Exception {
-        return loop.submit(() -> new Upstreams(reads, idleUs, restUs, 2_000_000, 20_000, () -> most, new Totals()))
+    private UpstreamConnectionPool upstreams(long idleUs, int most, long restUs) throws Exception {
+        return loop.submit(() -> new UpstreamConnectionPool(
+                        reads, idleUs, restUs, 2_000_000, 20_000, () -> most, new TrafficStatistics()))
                 .get();
     }
 
-    private static UpstreamList list(boolean whole, String... entries) {
-        return UpstreamList.of(Json.parse(Rig.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
+    private static EndpointList list(boolean whole, String... entries) {
+        return EndpointList.of(
+                JsonObject.parse(SidecarFixture.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
     }
 
-    private Upstreams.Call call(String upstream) {
-        return new Upstreams.Call(
+    private UpstreamCall call(String upstream) {
+        return new UpstreamCall(
                 upstream,
                 clock.now() + 20_000_000,
                 false,
@@ -63,16 +72,16 @@
      */
     @Test
     void nothingIsSentToAnUpstreamThatChangedWhileItsConnectionCameUp() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
-                Peer moved = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            Upstreams upstreams = upstreams(15_000_000, 100);
-            UpstreamList ready = list(true, Rig.entry("u", up.address(), "Ready", 0));
-            for (UpstreamList change : new UpstreamList[] {
-                list(false, Rig.entry("u", up.address(), "Terminating", 0)),
-                list(false, Rig.entry("u", up.address(), "Gone", 0)),
-                list(false, Rig.entry("u", up.address(), "Ready", 5_000_000)),
-                list(false, Rig.entry("u", moved.address(), "Ready", 0)),
-                list(true, Rig.entry("other", moved.address(), "Ready", 0))
+        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"));
+                StubServer moved = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
+            EndpointList ready = list(true, SidecarFixture.entry("u", up.address(), "Ready", 0));
+            for (EndpointList change : new EndpointList[] {
+                list(false, SidecarFixture.entry("u", up.address(), "Terminating", 0)),
+                list(false, SidecarFixture.entry("u", up.address(), "Gone", 0)),
+                list(false, SidecarFixture.entry("u", up.address(), "Ready", 5_000_000)),
+                list(false, SidecarFixture.entry("u", moved.address(), "Ready", 0)),
+                list(true, SidecarFixture.entry("other", moved.address(), "Ready", 0))
             }) {
                 loop.execute(() -> {
                     upstreams.update(ready);
@@ -88,11 +97,11 @@
     /** The same upstream named again, as in every whole list, is no change: its connections stay. */
     @Test
     void aListThatSaysTheSameKeepsTheConnections() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            Upstreams upstreams = upstreams(15_000_000, 100);
+        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
-                    upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0)));
+                    upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0)));
                     upstreams.start(call("u"));
                 });
                 assertEquals("u OK", outcome());
@@ -104,9 +113,9 @@
     /** An upstream drops idle connections unseen; a request written to one from then on would end as a reset. */
     @Test
     void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            Upstreams upstreams = upstreams(1, 100);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
+            UpstreamConnectionPool upstreams = upstreams(1, 100);
+            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 2; i++) {
                 loop.execute(() -> upstreams.start(call("u")));
                 assertEquals("u OK", outcome());
@@ -119,11 +128,13 @@
     /** Descriptors are few: at the cap an idle connection elsewhere makes room, and without one nothing is sent. */
     @Test
     void connectionsStayWithinTheirCap() throws Exception {
-        try (Peer a = new Peer((m, line) -> line.answer("200 OK", "", ""));
-                Peer silent = new Peer((m, line) -> {})) {
-            Upstreams upstreams = upstreams(15_000_000, 1);
+        try (StubServer a = new StubServer((m, line) -> line.answer("200 OK", "", ""));
+                StubServer silent = new StubServer((m, line) -> {})) {
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
-                    true, Rig.entry("a", a.address(), "Ready", 0), Rig.entry("silent", silent.address(), "Ready", 0))));
+                    true,
+                    SidecarFixture.entry("a", a.address(), "Ready", 0),
+                    SidecarFixture.entry("silent", silent.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("a")));
             assertEquals("a OK", outcome());
             loop.execute(() -> upstreams.start(call("silent")));
@@ -137,11 +148,13 @@
     /** Clients that come in numbers need descriptors: a connection that rests is closed for them, one in use is not. */
     @Test
     void anIdleConnectionGivesWayAndOneInUseDoesNot() throws Exception {
-        try (Peer a = new Peer((m, line) -> line.answer("200 OK", "", ""));
-                Peer silent = new Peer((m, line) -> {})) {
-            Upstreams upstreams = upstreams(15_000_000, 2);
+        try (StubServer a = new StubServer((m, line) -> line.answer("200 OK", "", ""));
+                StubServer silent = new StubServer((m, line) -> {})) {
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 2);
             loop.execute(() -> upstreams.update(list(
-                    true, Rig.entry("a", a.address(), "Ready", 0), Rig.entry("silent", silent.address(), "Ready", 0))));
+                    true,
+                    SidecarFixture.entry("a", a.address(), "Ready", 0),
+                    SidecarFixture.entry("silent", silent.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("a")));
             assertEquals("a OK", outcome());
             loop.execute(() -> upstreams.start(call("silent")));
@@ -156,12 +169,14 @@
     /** What never came up holds no place: otherwise a crashed upstream would use up the cap by and by. */
     @Test
     void connectionsThatFailFreeTheirPlace() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""));
-                Peer gone = new Peer((m, line) -> {})) {
+        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""));
+                StubServer gone = new StubServer((m, line) -> {})) {
             gone.close();
-            Upstreams upstreams = upstreams(15_000_000, 1);
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
-                    true, Rig.entry("u", up.address(), "Ready", 0), Rig.entry("gone", gone.address(), "Ready", 0))));
+                    true,
+                    SidecarFixture.entry("u", up.address(), "Ready", 0),
+                    SidecarFixture.entry("gone", gone.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> upstreams.start(call("gone")));
                 assertEquals("gone CONNECT_FAILED", outcome());
@@ -175,11 +190,11 @@
     /** Upstreams are replaced under ever new ids; what is gone must not be kept for ever, also among changes. */
     @Test
     void whatIsGoneIsForgotten() throws Exception {
-        Upstreams upstreams = upstreams(15_000_000, 100);
+        UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
         int kept = loop.submit(() -> {
                     for (int i = 0; i < 50; i++) {
-                        upstreams.update(list(false, Rig.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
-                        upstreams.update(list(false, Rig.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
+                        upstreams.update(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
+                        upstreams.update(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
                     }
                     return upstreams.known();
                 })
@@ -190,12 +205,12 @@
     /** A connection that the upstream closed while it rested must cost the next call nothing. */
     @Test
     void aConnectionClosedWhileItRestedIsPassedOver() throws Exception {
-        try (Peer up = new Peer((m, line) -> {
+        try (StubServer up = new StubServer((m, line) -> {
             line.answer("200 OK", "", "sent");
             line.socket().close();
         })) {
-            Upstreams upstreams = upstreams(15_000_000, 100);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
+            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 5; i++) {
                 loop.execute(() -> upstreams.start(call("u")));
                 assertEquals("u OK", outcome());
@@ -213,8 +228,8 @@
      */
     @Test
     void aSecondAnswerThatComesLateIsServedToNobody() throws Exception {
-        BlockingQueue<Peer.Line> lines = new LinkedBlockingQueue<>();
-        try (Peer up = new Peer((m, line) -> {
+        BlockingQueue<StubServer.Line> lines = new LinkedBlockingQueue<>();
+        try (StubServer up = new StubServer((m, line) -> {
             lines.add(line);
             if (lines.size() == 1) {
                 line.answer("200 OK", "", "first");
@@ -223,8 +238,8 @@
                 line.answer("500 Own", "", "");
             }
         })) {
-            Upstreams upstreams = upstreams(15_000_000, 100, 3_600_000_000L);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100, 3_600_000_000L);
+            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("u")));
             assertEquals("u OK", outcome());
             loop.execute(() -> upstreams.start(call("u")));
@@ -235,9 +250,9 @@
     /** Once it has rested a connection is used again: most requests would begin with a handshake otherwise. */
     @Test
     void aConnectionThatHasRestedIsUsedAgain() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            Upstreams upstreams = upstreams(15_000_000, 100, 1_000);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
+            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100, 1_000);
+            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
             for (int calls = 0; up.accepted.size() == calls; calls++) {
                 loop.execute(() -> upstreams.start(call("u")));
                 assertEquals("u OK", outcome());
--- a/src/test/java/rushproxy/simulation/SimulatedFleetTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulatedFleetTest.java
@@ -1,4 +1,4 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,7 +9,7 @@
 
 class SimulatedFleetTest {
     private static String played(long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(new Shape(30, 20, 0.6, 4, 1_000_000, 0.2, seed));
+        SimulatedFleet fleet = new SimulatedFleet(new FleetShape(30, 20, 0.6, 4, 1_000_000, 0.2, seed));
         fleet.play(2);
         fleet.restartServer(3);
         fleet.restartSidecar(7);
@@ -17,7 +17,7 @@
         return events + " events, " + fleet.taken() + " taken, " + fleet.words() + " words, " + fleet.servedPart()
                 + " served, "
                 + Arrays.toString(fleet.servers().stream()
-                        .mapToLong(SimulatedServer::sentCold)
+                        .mapToLong(SimulatedEndpoint::sentCold)
                         .toArray());
     }
 
@@ -30,7 +30,7 @@
     /** Found by the scale tests: a first request right after a start was told to all as a flood. */
     @Test
     void aMassRestartLeavesTheFleetsRateKnown() {
-        SimulatedFleet fleet = new SimulatedFleet(new Shape(100, 100, 0.6, 4, 0, 0, 3));
+        SimulatedFleet fleet = new SimulatedFleet(new FleetShape(100, 100, 0.6, 4, 0, 0, 3));
         fleet.play(5.5);
         for (int i = 0; i < 70; i++) {
             fleet.restartSidecar(i);
--- a/src/test/java/rushproxy/simulation/ColdBudgetTest.java
+++ b/src/test/java/loadbalancer/simulation/SlowStartBudgetTest.java
@@ -1,4 +1,4 @@
-package rushproxy.simulation;
+package loadbalancer.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,12 +9,12 @@
  * STANDING: a cold server falls from N + 2 x root of N + 2 requests in a window on, over the sum of all processes. The
  * sidecars are told of a start up to 4.6 s apart, some are restarted meanwhile, and traffic is unequal.
  */
-class ColdBudgetTest {
+class SlowStartBudgetTest {
     @ParameterizedTest
     @CsvSource({"20, 12", "30, 20", "100, 60"})
     void allProcessesTogetherStayInsideTheBudgetOfEachColdServer(int sidecars, int servers) {
         for (long seed = 1; seed <= 3; seed++) {
-            SimulatedFleet fleet = new SimulatedFleet(new Shape(sidecars, servers, 0.6, 4, 4_600_000, 0.1, seed));
+            SimulatedFleet fleet = new SimulatedFleet(new FleetShape(sidecars, servers, 0.6, 4, 4_600_000, 0.1, seed));
             fleet.play(4);
             double most = Double.NEGATIVE_INFINITY;
             long sent = 0;
@@ -25,7 +25,7 @@
                 fleet.play(4.0 / servers);
             }
             fleet.play(12);
-            for (SimulatedServer s : fleet.servers()) {
+            for (SimulatedEndpoint s : fleet.servers()) {
                 most = Math.max(most, s.worstBeyondChance());
                 sent += s.sentCold();
                 could += s.couldCold();
--- a/src/test/java/rushproxy/wire/SimHostTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorHostTest.java
@@ -1,4 +1,4 @@
-package rushproxy.wire;
+package loadbalancer.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class SimHostTest {
+class SimulatorHostTest {
     private static final String FACTS = "me=0 balancers=2 zone=z kinds=k azs=z profiles.count=1 profiles.0.name=c "
             + "profiles.0.semantics=safe profiles.0.objective_us=300000 profiles.0.give_up_us=800000 "
             + "rules.drain_grace_us=500000 rules.cold_share=0.2 rules.ramp_time_us=9000000 rules.fall_multiple=3 "
@@ -24,7 +24,7 @@
     private void run(String input) throws Exception {
         ByteArrayOutputStream o = new ByteArrayOutputStream();
         ByteArrayOutputStream e = new ByteArrayOutputStream();
-        code = new SimHost(
+        code = new SimulatorHost(
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), o, new PrintStream(e, true))
                 .run();
         out = o.toString(StandardCharsets.UTF_8);
