--- a/src/main/java/loadbalancer/decision/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcome.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
 /**
- * {@code SPOILT}: something came back that is no answer. {@code INVALID}: the request itself was found to be no good,
- * which says nothing of the upstream.
+ * {@code MALFORMED_RESPONSE}: something came back that is no answer. {@code INVALID_REQUEST}: the request itself was
+ * found to be no good, which says nothing of the upstream.
  */
 public enum AttemptOutcome {
     OK(true),
@@ -13,8 +13,8 @@
     RESET(true),
     CANCELLED(true),
     NOT_SENT(false),
-    SPOILT(true),
-    INVALID(true);
+    MALFORMED_RESPONSE(true),
+    INVALID_REQUEST(true);
 
     /** False where the outcome proves that the attempt never ran. */
     public final boolean mayHaveRun;
--- a/src/main/java/loadbalancer/decision/EndpointState.java
+++ b/src/main/java/loadbalancer/decision/EndpointState.java
@@ -2,7 +2,7 @@
 
 /** What the list says of an upstream. */
 public enum EndpointState {
-    GONE,
+    REMOVED,
     READY,
     DRAINING
 }
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -16,12 +16,12 @@
      */
     void onSettings(long now, LoadBalancerSettings settings);
 
-    void onList(long now, EndpointListType kind, List<Endpoint> entries);
+    void onEndpointList(long now, EndpointListType kind, List<Endpoint> entries);
 
     void onRequest(long now, Request request);
 
     /** {@code done}: the request is over, by this outcome or already before it. */
-    void onOutcome(
+    void onAttemptOutcome(
             long now,
             String request,
             int attempt,
@@ -33,12 +33,12 @@
 
     void onStreamStart(long now, String request, int attempt, String upstream, long latencyUs);
 
-    void onProbe(long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report);
+    void onHealthCheck(long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report);
 
     /** The client has left, or the answer is overdue: the request is over. */
-    void onExpired(long now, String request);
+    void onRequestExpired(long now, String request);
 
-    void onPeer(long now, int peer, byte[] message);
+    void onGossip(long now, int peer, byte[] message);
 
     void onTimer(long now, String mark);
 }
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -110,12 +110,13 @@
     public LoadBalancingPolicy(LoadBalancerSettings settings, long seed, long now, LoadBalancerActions actions) {
         out = actions;
         random = new SplittableRandom(seed);
-        for (RequestClass c : settings.classes())
-            meanWork += c.aimUs() / 4.0 / settings.classes().size();
+        for (RequestClass c : settings.requestClasses())
+            meanWork +=
+                    c.latencyObjectiveMicros() / 4.0 / settings.requestClasses().size();
         take(settings);
         rateAt = startedAt = loggedAt = now;
         solvedAt = now - RESOLVE_US;
-        if (cfg.discoveryOnRequest()) ask();
+        if (cfg.polledDiscovery()) ask();
     }
 
     /** What was learned of servers and kinds stays, and open requests keep the class they came with. */
@@ -129,33 +130,38 @@
     private void take(LoadBalancerSettings settings) {
         cfg = settings;
         classes.clear();
-        topWorth = cfg.classes().stream().mapToDouble(RequestClass::worth).max().orElse(0);
-        for (RequestClass c : cfg.classes()) {
-            classWork.putIfAbsent(c.name(), c.aimUs() / 4.0);
+        topWorth = cfg.requestClasses().stream()
+                .mapToDouble(RequestClass::priorityWeight)
+                .max()
+                .orElse(0);
+        for (RequestClass c : cfg.requestClasses()) {
+            classWork.putIfAbsent(c.name(), c.latencyObjectiveMicros() / 4.0);
             classes.put(c.name(), c);
         }
-        topAim = cfg.classes().stream()
-                .filter(c -> c.worth() == topWorth)
-                .mapToLong(RequestClass::aimUs)
+        topAim = cfg.requestClasses().stream()
+                .filter(c -> c.priorityWeight() == topWorth)
+                .mapToLong(RequestClass::latencyObjectiveMicros)
                 .min()
                 .orElse(0);
-        longestUs =
-                cfg.classes().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+        longestUs = cfg.requestClasses().stream()
+                .mapToLong(RequestClass::deadlineMicros)
+                .max()
+                .orElse(0);
         // Numbers of other settings may be other sidecars': they tell again within a second.
-        peers = new Peer[cfg.balancers()];
+        peers = new Peer[cfg.sidecarCount()];
         zoneRate = new double[cfg.zones().size()];
-        sampling = cfg.limits().probing()
-                && cfg.reports() != LoadReporting.NONE
-                && 2 * cfg.prices().probe() <= TOLL;
-        hedging = sampling && cfg.limits().secondCopies();
+        sampling = cfg.limits().healthChecks()
+                && cfg.loadReporting() != LoadReporting.NONE
+                && 2 * cfg.prices().healthCheck() <= TOLL;
+        hedging = sampling && cfg.limits().hedging();
         subset = cfg.prices().connection() > 0 && cfg.prices().handshake() > 0;
-        blind = !sampling && cfg.balancers() > SHARERS;
-        coresGuess = cfg.reports() == LoadReporting.NONE ? CORES_GUESS : 1;
-        for (String k : cfg.kinds()) kinds.computeIfAbsent(k, x -> new Kind(coresGuess));
+        blind = !sampling && cfg.sidecarCount() > SHARERS;
+        coresGuess = cfg.loadReporting() == LoadReporting.NONE ? CORES_GUESS : 1;
+        for (String k : cfg.machineTypes()) kinds.computeIfAbsent(k, x -> new Kind(coresGuess));
         home = Math.max(0, cfg.zones().indexOf(cfg.zone()));
-        if (!telling && cfg.limits().peers() && cfg.balancers() > 1) {
+        if (!telling && cfg.limits().gossip() && cfg.sidecarCount() > 1) {
             telling = true;
-            out.timer("tell", TELL_US / 2 + random.nextLong(TELL_US));
+            out.startTimer("tell", TELL_US / 2 + random.nextLong(TELL_US));
         }
     }
 
@@ -170,7 +176,7 @@
     private double wantedMembers;
 
     @Override
-    public void onList(long now, EndpointListType listKind, List<Endpoint> entries) {
+    public void onEndpointList(long now, EndpointListType listKind, List<Endpoint> entries) {
         listAnswered(now, listKind);
         if (listKind == EndpointListType.FAILED) return;
         Set<String> named = new HashSet<>();
@@ -178,10 +184,10 @@
             named.add(u.id());
             Server s = servers.get(u.id());
             if (s == null) {
-                Kind kind = kinds.computeIfAbsent(u.kind(), k -> new Kind(coresGuess));
+                Kind kind = kinds.computeIfAbsent(u.machineType(), k -> new Kind(coresGuess));
                 s = new Server(u, kind, mix(u.id().hashCode(), 0));
                 servers.put(u.id(), s);
-            } else if (u.startedUs() != s.entry.startedUs()) {
+            } else if (u.startedMicros() != s.entry.startedMicros()) {
                 s.apart = 1;
                 s.failures = s.ejections = 0;
                 s.ejectedUntil = s.usedAt = 0;
@@ -189,7 +195,7 @@
             s.entry = u;
             s.zone = Math.max(0, cfg.zones().indexOf(u.zone()));
             s.ready = u.state() == EndpointState.READY;
-            s.gone = u.state() == EndpointState.GONE;
+            s.gone = u.state() == EndpointState.REMOVED;
             closeIfLeaving(s);
         }
         for (Server s : servers.values()) {
@@ -221,7 +227,7 @@
      * Also when it vanishes from the list, where a drain may have gone unseen.
      */
     private void closeIfLeaving(Server s) {
-        if (cfg.rules().closeOnDrainUs() > 0 && !s.ready && s.usedAt > 0) out.close(s.id);
+        if (cfg.rules().closeOnDrainMicros() > 0 && !s.ready && s.usedAt > 0) out.closeIdleConnections(s.id);
     }
 
     private boolean priced() {
@@ -250,7 +256,7 @@
         Map<List<Object>, List<Server>> parts = new LinkedHashMap<>();
         int[] size = new int[zoneRate.length];
         for (Server s : ready) {
-            parts.computeIfAbsent(List.of(s.zone, s.entry.kind()), k -> new ArrayList<>())
+            parts.computeIfAbsent(List.of(s.zone, s.entry.machineType()), k -> new ArrayList<>())
                     .add(s);
             size[s.zone]++;
         }
@@ -259,7 +265,7 @@
             Server one = of.get(0);
             double n = zonePart[one.zone] * Math.min(hot, wantedMembers) * of.size() / size[one.zone];
             // Parts of a server are rounded so that they come out right over many sidecars.
-            n = Math.max(one.zone == home ? 1 : 0, Math.floor(n + cfg.me() * 0.7548776662466927 % 1));
+            n = Math.max(one.zone == home ? 1 : 0, Math.floor(n + cfg.sidecarIndex() * 0.7548776662466927 % 1));
             for (int i = 0; i < Math.min(n, of.size()); i++) {
                 chosen.add(of.get((i + ownPoint(of.size())) % of.size()));
             }
@@ -289,7 +295,7 @@
 
     /** Points of successive numbers at the golden section's distance spread evenly over any circle. */
     private int ownPoint(int places) {
-        return (int) (cfg.me() * 0.6180339887498949 % 1 * places);
+        return (int) (cfg.sidecarIndex() * 0.6180339887498949 % 1 * places);
     }
 
     // ---- estimators -----------------------------------------------------------------------------
@@ -301,10 +307,10 @@
 
     /** The part of its full capacity that a server can surely do now: the slowest ramp the settings allow. */
     private double warmth(Server s, long now) {
-        long age = now - s.entry.startedUs();
-        if (s.entry.startedUs() <= 0 || age >= cfg.rules().rampUs()) return 1;
-        double cold = cfg.rules().coldShare();
-        return cold + (1 - cold) * Math.max(0, age) / cfg.rules().rampUs();
+        long age = now - s.entry.startedMicros();
+        if (s.entry.startedMicros() <= 0 || age >= cfg.rules().slowStartMicros()) return 1;
+        double cold = cfg.rules().slowStartInitialRatio();
+        return cold + (1 - cold) * Math.max(0, age) / cfg.rules().slowStartMicros();
     }
 
     /** Requests a server holds, as far as known: own, and those of others by its own word where fresh. */
@@ -348,7 +354,7 @@
         double relative = latencyUs / Math.max(1, a.plain);
         if (!success && relative < s.slow()) return;
         double gain = SPEED_GAIN;
-        if (cfg.reports() == LoadReporting.NONE && success && warmth(s, now) >= 1) {
+        if (cfg.loadReporting() == LoadReporting.NONE && success && warmth(s, now) >= 1) {
             // What waited for a core tells of cores, what did not of speed; each answer teaches by its part.
             double part = waiting(s, a.held) / (waiting(s, a.held) + a.req.work);
             double step = SPEED_GAIN / 4 * part * (Math.min(TAIL, relative / s.slow()) - 1);
@@ -363,7 +369,7 @@
             s.kind.slow *= 1 + first * (Math.min(TAIL, relative / s.kind.slow) - 1);
         }
         s.apart *= 1 + gain * (Math.min(TAIL, relative / s.slow()) - 1);
-        if (success && a.req.request.costHintUs() <= 0) {
+        if (success && a.req.request.costHintMicros() <= 0) {
             double step = SPEED_GAIN / 4 * (Math.min(TAIL, relative / s.slow()) - 1);
             classWork.computeIfPresent(a.req.spec.name(), (c, work) -> work * (1 + step));
         }
@@ -404,7 +410,7 @@
     /** The mean of the streams heard of, own one included, times their number. */
     private double fleetRate() {
         double mean = Arrays.stream(zoneRate).sum();
-        return cfg.balancers() * (mean > 0 ? mean : ownRate);
+        return cfg.sidecarCount() * (mean > 0 ? mean : ownRate);
     }
 
     // ---- split ----------------------------------------------------------------------------------
@@ -630,7 +636,7 @@
     private void probe(long now, Server s) {
         if (now - s.askedAt > PROBE_US) {
             s.askedAt = now;
-            out.probe(s.id);
+            out.checkHealth(s.id);
         }
     }
 
@@ -682,12 +688,12 @@
         r.request = request;
         r.spec = classes.get(request.requestClass());
         if (r.spec == null) throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        r.work = request.costHintUs() > 0 ? request.costHintUs() : classWork.get(r.spec.name());
+        r.work = request.costHintMicros() > 0 ? request.costHintMicros() : classWork.get(r.spec.name());
         meanWork += 0.01 * (Math.min(r.work, TAIL * meanWork) - meanWork);
-        r.deadline = now + request.remainingUs();
-        long aim = (long) (r.spec.aimUs() + r.spec.aimStretch() * r.work);
-        r.usefulUntil = Math.min(r.deadline, now + (r.spec.lateWorth() > 0 ? request.remainingUs() : aim));
-        double rank = (1 - r.spec.worth() / topWorth) / 2 + (request.repeat() ? 1 : 0);
+        r.deadline = now + request.remainingMicros();
+        long aim = (long) (r.spec.latencyObjectiveMicros() + r.spec.latencyObjectiveWorkRatio() * r.work);
+        r.usefulUntil = Math.min(r.deadline, now + (r.spec.lateWeight() > 0 ? request.remainingMicros() : aim));
+        double rank = (1 - r.spec.priorityWeight() / topWorth) / 2 + (request.retry() ? 1 : 0);
         r.order = now + aim + (long) (rank * aim);
         open.put(request.id(), r);
         refresh(now);
@@ -712,13 +718,13 @@
 
     /** Requests of others on a server that tells no load, by its part of the warm cores, as far as told. */
     private double strangers(Server s, long now) {
-        if (cfg.reports() != LoadReporting.NONE || heard == 0 || coresNow <= 0 || now < s.ejectedUntil) return 0;
+        if (cfg.loadReporting() != LoadReporting.NONE || heard == 0 || coresNow <= 0 || now < s.ejectedUntil) return 0;
         return (fleetHeld(now) - held(now)) * s.kind.cores * warmth(s, now) / coresNow;
     }
 
     /** The same for all sidecars, as far as they have told: the own part of a server's queue may be small. */
     private double fleetHeld(long now) {
-        return cfg.balancers() * (held(now) + heldElsewhere) / (heard + 1);
+        return cfg.sidecarCount() * (held(now) + heldElsewhere) / (heard + 1);
     }
 
     /**
@@ -728,7 +734,7 @@
     private boolean shed(long now, Req r) {
         if (capacity <= 0) return false;
         double wait = 1e6 * (fleetHeld(now) - coresNow) / capacity;
-        double part = wait / (topAim * Math.sqrt(r.spec.worth() / topWorth));
+        double part = wait / (topAim * Math.sqrt(r.spec.priorityWeight() / topWorth));
         return random.nextDouble() * (FULL - CALM) < part - CALM;
     }
 
@@ -748,7 +754,7 @@
     private void sweepLater() {
         if (!holdTimer && !waiting.isEmpty()) {
             holdTimer = true;
-            out.timer("hold", SWEEP_US);
+            out.startTimer("hold", SWEEP_US);
         }
     }
 
@@ -774,11 +780,11 @@
     private long lastStart(Req r) {
         // While a pair is asked for its load the request does not wait yet, and no slack is taken off.
         long forAim = (long) (r.usefulUntil - (r.first != null ? 0 : SLACK * bestSlow * r.work));
-        return Math.min(r.deadline - SWEEP_US - 2 * cfg.tickUs(), forAim);
+        return Math.min(r.deadline - SWEEP_US - 2 * cfg.clockTickMicros(), forAim);
     }
 
     private void giveUp(long now, Req r) {
-        if (mayRefuse(r)) refuse(r, cfg.limits().retryAfter() ? r.spec.aimUs() / 2 : 0);
+        if (mayRefuse(r)) refuse(r, cfg.limits().retryAfter() ? r.spec.latencyObjectiveMicros() / 2 : 0);
         else fail(r);
     }
 
@@ -788,18 +794,19 @@
         boolean spent = r.attempts.size() >= cfg.limits().maxAttempts();
         if (r.over || r.streaming || !s.ready || now >= r.deadline || spent) return false;
         for (Attempt a : r.attempts) {
-            if (!a.ended && !cfg.limits().secondCopies()) return false;
+            if (!a.ended && !cfg.limits().hedging()) return false;
             if (a.mayHaveRun && !repeatable(r.spec, a, s, now)) return false;
         }
         return coldRoom(now, s, r.work);
     }
 
     private boolean repeatable(RequestClass c, Attempt earlier, Server s, long now) {
-        if (c.semantics() == Idempotency.SAFE) return true;
+        if (c.idempotency() == Idempotency.IDEMPOTENT) return true;
         // It has to be there within the window, also where its connection comes up late.
-        long there = now + cfg.limits().dialTimeoutUs();
-        if (c.semantics() == Idempotency.UNSAFE || there - earlier.sentAt >= c.windowUs()) return false;
-        return switch (c.group()) {
+        long there = now + cfg.limits().connectTimeoutMicros();
+        if (c.idempotency() == Idempotency.NOT_IDEMPOTENT || there - earlier.sentAt >= c.deduplicationWindowMicros())
+            return false;
+        return switch (c.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> s.entry.zone().equals(earlier.entry.zone());
             case CELL -> s.entry.cell() == earlier.entry.cell();
@@ -814,15 +821,17 @@
     private boolean coldRoom(long now, Server s, double work) {
         if (warmth(s, now) >= 1) return true;
         long slot = coldSlot(s, now);
-        long slotStart = s.entry.startedUs() + slot * (cfg.rules().fallWindowUs() / 2);
+        long slotStart = s.entry.startedMicros() + slot * (cfg.rules().overloadWindowMicros() / 2);
         double capacity = warmth(s, slotStart) * Math.max(1, s.kind.cores) / s.kind.slow;
-        double budget =
-                COLD_PART * cfg.rules().fallMultiple() * capacity * cfg.rules().fallWindowUs();
+        double budget = COLD_PART
+                * cfg.rules().overloadMultiple()
+                * capacity
+                * cfg.rules().overloadWindowMicros();
         long requests = (long) (budget / (sampling ? 1.5 : 3) / meanWork);
-        long turn = Math.floorMod(cfg.me() - mix(s.id.hashCode(), (int) slot), cfg.balancers());
-        long own = requests / cfg.balancers() + (turn < requests % cfg.balancers() ? 1 : 0);
-        if (!sampling && requests < cfg.balancers()) own = turn < turns(s, requests) ? most(requests) : 0;
-        long spacing = sampling ? cfg.rules().fallWindowUs() / 4 / Math.max(1, requests) : 0;
+        long turn = Math.floorMod(cfg.sidecarIndex() - mix(s.id.hashCode(), (int) slot), cfg.sidecarCount());
+        long own = requests / cfg.sidecarCount() + (turn < requests % cfg.sidecarCount() ? 1 : 0);
+        if (!sampling && requests < cfg.sidecarCount()) own = turn < turns(s, requests) ? most(requests) : 0;
+        long spacing = sampling ? cfg.rules().overloadWindowMicros() / 4 / Math.max(1, requests) : 0;
         double sent = s.coldSlot == slot ? s.coldSent : 0;
         boolean due = own > 0 && now >= slotStart + turn * spacing;
         return due && work <= TAIL * meanWork && (sent == 0 || sent + work <= own * meanWork);
@@ -839,14 +848,14 @@
      * slot's requests. The less busy of two drawn is one that has nothing to do.
      */
     private double turns(Server s, long requests) {
-        double drawn = 2 * fleetRate() * cfg.rules().fallWindowUs() / 2e6 * s.share / Math.max(1e-9, shares);
+        double drawn = 2 * fleetRate() * cfg.rules().overloadWindowMicros() / 2e6 * s.share / Math.max(1e-9, shares);
         double ownDrawn = drawn * ownRate / Math.max(1e-9, fleetRate());
         double sent = drawn * Math.min(1, most(requests) / Math.max(1e-9, ownDrawn));
-        return cfg.balancers() * requests / Math.max(1e-9, sent);
+        return cfg.sidecarCount() * requests / Math.max(1e-9, sent);
     }
 
     private long coldSlot(Server s, long now) {
-        return Math.max(0, now - s.entry.startedUs()) / (cfg.rules().fallWindowUs() / 2);
+        return Math.max(0, now - s.entry.startedMicros()) / (cfg.rules().overloadWindowMicros() / 2);
     }
 
     /** A refusal says that nothing has run, whatever the class: what may have is failed. */
@@ -870,15 +879,15 @@
         long slot = coldSlot(s, now);
         s.coldSent = r.work + (slot == s.coldSlot ? s.coldSent : 0);
         s.coldSlot = slot;
-        a.idle = s.own() > 1 || now - s.usedAt > cfg.limits().connIdleUs() ? 0 : now - s.usedAt;
+        a.idle = s.own() > 1 || now - s.usedAt > cfg.limits().connectionIdleTimeoutMicros() ? 0 : now - s.usedAt;
         if (a.idle >= idleLimit) {
-            out.close(s.id);
+            out.closeIdleConnections(s.id);
             a.idle = 0;
         }
         s.usedAt = now;
-        out.send(r.request.id(), s.id, r.deadline);
+        out.sendAttempt(r.request.id(), s.id, r.deadline);
         if (hedging && repeatable(r.spec, a, s, now)) {
-            out.timer(LATE + r.request.id(), Math.max(SWEEP_US, (long) (OVERDUE * a.expected)));
+            out.startTimer(LATE + r.request.id(), Math.max(SWEEP_US, (long) (OVERDUE * a.expected)));
         }
     }
 
@@ -912,7 +921,7 @@
         if (a == null || a.server.gone) return;
         r.lateAt = now;
         probe(now, a.server);
-        out.timer(MUTE + r.request.id(), SWEEP_US);
+        out.startTimer(MUTE + r.request.id(), SWEEP_US);
     }
 
     private void copyUnlessHeld(long now, Req r) {
@@ -924,7 +933,7 @@
         if (!answered) {
             a.server.mutedAt = now;
         } else if (!a.lost) {
-            out.timer(LATE + r.request.id(), Math.max(SWEEP_US, (long) (a.expected / 2)));
+            out.startTimer(LATE + r.request.id(), Math.max(SWEEP_US, (long) (a.expected / 2)));
             return;
         }
         refresh(now);
@@ -937,7 +946,7 @@
     private void refuse(Req r, long retryAfterUs) {
         if (!mayRefuse(r)) throw new IllegalStateException("a refusal against the rules");
         over(r);
-        out.refuse(r.request.id(), Math.min(retryAfterUs, cfg.limits().maxRetryAfterUs()));
+        out.reject(r.request.id(), Math.min(retryAfterUs, cfg.limits().maxRetryAfterMicros()));
     }
 
     private void fail(Req r) {
@@ -956,7 +965,7 @@
     }
 
     @Override
-    public void onOutcome(
+    public void onAttemptOutcome(
             long now,
             String id,
             int number,
@@ -985,7 +994,7 @@
         if (forgotten(s)) servers.remove(s.id, s);
         health(now, s, a, outcome, latencyUs);
         if (done || r.over) over(r);
-        else if (outcome == AttemptOutcome.INVALID) fail(r);
+        else if (outcome == AttemptOutcome.INVALID_REQUEST) fail(r);
         else if (!r.streaming) next(now, r);
         dispatch(now, false);
         told = null;
@@ -1014,7 +1023,7 @@
     private boolean idleDropped(long now, Attempt a, AttemptOutcome outcome) {
         if (idleLimit < Long.MAX_VALUE && now - idleSeenAt > IDLE_FORGET_US) {
             idleSeenAt = now;
-            idleLimit = idleLimit > cfg.limits().connIdleUs() ? Long.MAX_VALUE : idleLimit * 2;
+            idleLimit = idleLimit > cfg.limits().connectionIdleTimeoutMicros() ? Long.MAX_VALUE : idleLimit * 2;
         }
         if (outcome == AttemptOutcome.OK && (a.idle >= idleKept || now - idleKeptAt > FORGET_US)) {
             idleKept = a.idle;
@@ -1049,7 +1058,7 @@
             }
             case ERROR -> failed(now, s, FAILURE);
                 // As often the connection's fault: one whose process died refuses the next connection.
-            case RESET, SPOILT -> failed(now, s, SPOILT);
+            case RESET, MALFORMED_RESPONSE -> failed(now, s, SPOILT);
                 // By one that answered just now: the connection's fault, until it happens again and again.
             case CONNECT_FAILED -> failed(now, s, answering(now, s, a) ? SPOILT : EJECT_AFTER);
             case REJECTED -> {
@@ -1092,17 +1101,17 @@
     }
 
     @Override
-    public void onExpired(long now, String id) {
+    public void onRequestExpired(long now, String id) {
         if (open.containsKey(id)) over(open.get(id));
     }
 
     @Override
-    public void onProbe(long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report) {
+    public void onHealthCheck(long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report) {
         Server s = servers.get(upstream);
         if (s == null) return;
         s.askedAt = 0;
         if (outcome != AttemptOutcome.OK) {
-            int other = outcome == AttemptOutcome.SPOILT ? SPOILT : FAILURE;
+            int other = outcome == AttemptOutcome.MALFORMED_RESPONSE ? SPOILT : FAILURE;
             failed(now, s, outcome == AttemptOutcome.CONNECT_FAILED ? EJECT_AFTER : other);
         } else if (report == null) {
             // It answers but tells no load, as it did before: rather busy than idle.
@@ -1138,17 +1147,17 @@
     private void ask() {
         if (!asking && !subscribed) {
             asking = true;
-            out.subscribe();
+            out.pollEndpoints();
         }
     }
 
     private void listAnswered(long now, EndpointListType kind) {
-        if (!cfg.discoveryOnRequest() || kind == EndpointListType.CACHED) return;
+        if (!cfg.polledDiscovery() || kind == EndpointListType.CACHED) return;
         asking = false;
         subscribed = kind != EndpointListType.FAILED;
         // Jittered, so that instances that failed together do not ask together again.
-        if (!subscribed) out.timer("ask", askDelay / 2 + random.nextLong(askDelay));
-        long most = Math.min(ASK_MOST_US, cfg.rules().askEveryUs() / 2 + 1);
+        if (!subscribed) out.startTimer("ask", askDelay / 2 + random.nextLong(askDelay));
+        long most = Math.min(ASK_MOST_US, cfg.rules().pollIntervalMicros() / 2 + 1);
         askDelay = subscribed ? ASK_FIRST_US : Math.min(askDelay * 2, most);
     }
 
@@ -1184,40 +1193,40 @@
      * at random: the means need a sample only.
      */
     private void tell(long now) {
-        telling = cfg.limits().peers() && cfg.balancers() > 1;
+        telling = cfg.limits().gossip() && cfg.sidecarCount() > 1;
         if (!telling) return;
         measure(now);
-        GossipMessage word = new GossipMessage(cfg.kinds().size());
+        GossipMessage word = new GossipMessage(cfg.machineTypes().size());
         word.zone = home;
         word.rate = ownRate;
         word.held = held(now);
         for (int i = 0; i < word.slow.length; i++) {
-            Kind k = kinds.get(cfg.kinds().get(i));
+            Kind k = kinds.get(cfg.machineTypes().get(i));
             word.slow[i] = k.slow;
             word.cores[i] = k.cores;
             word.answers[i] = Math.min(EVIDENCE, k.answers);
         }
         word.idleLimitUs = now - idleOwnAt < IDLE_FORGET_US ? idleLimit : 0;
         byte[] bytes = word.bytes();
-        int others = cfg.balancers() - 1;
+        int others = cfg.sidecarCount() - 1;
         // The price is for bytes by request, over the fleet: each sidecar pays for its part of the rate.
-        double each = cfg.prices().peer() * bytes.length / 256 * 1e6 / TELL_US;
-        double paid = PEER_TOLL * fleetRate() / cfg.balancers() / Math.max(1e-9, each);
+        double each = cfg.prices().gossip() * bytes.length / 256 * 1e6 / TELL_US;
+        double paid = PEER_TOLL * fleetRate() / cfg.sidecarCount() / Math.max(1e-9, each);
         if (paid >= others) {
-            out.tell(-1, bytes);
+            out.sendGossip(-1, bytes);
         } else {
             for (int i = 0; i < Math.max(1, Math.min(DATAGRAMS, (int) paid)); i++) {
-                out.tell((cfg.me() + 1 + random.nextInt(others)) % cfg.balancers(), bytes);
+                out.sendGossip((cfg.sidecarIndex() + 1 + random.nextInt(others)) % cfg.sidecarCount(), bytes);
             }
         }
-        out.timer("tell", TELL_US);
+        out.startTimer("tell", TELL_US);
     }
 
     /** Speeds weigh by the answers behind them. One false message moves little, and the next take it back. */
     @Override
-    public void onPeer(long now, int peer, byte[] message) {
-        boolean known = peer >= 0 && peer < cfg.balancers() && peer != cfg.me();
-        GossipMessage word = new GossipMessage(cfg.kinds().size());
+    public void onGossip(long now, int peer, byte[] message) {
+        boolean known = peer >= 0 && peer < cfg.sidecarCount() && peer != cfg.sidecarIndex();
+        GossipMessage word = new GossipMessage(cfg.machineTypes().size());
         if (!known || !word.read(message) || word.zone >= zoneRate.length) return;
         Peer p = peers[peer] == null ? peers[peer] = new Peer() : peers[peer];
         double quotas =
@@ -1228,7 +1237,7 @@
         p.zone = word.zone;
         p.at = now;
         for (int i = 0; i < word.slow.length; i++) {
-            Kind k = kinds.get(cfg.kinds().get(i));
+            Kind k = kinds.get(cfg.machineTypes().get(i));
             int answers = Math.min(EVIDENCE, word.answers[i]);
             if (word.slow[i] <= 0 || answers == 0) continue;
             double part = 0.5 * answers / (answers + Math.min(EVIDENCE, k.answers));
--- a/src/main/java/loadbalancer/decision/Request.java
+++ b/src/main/java/loadbalancer/decision/Request.java
@@ -1,12 +1,12 @@
 package loadbalancer.decision;
 
-/** {@code costHintUs} is 0 where there is none; {@code remainingUs} is the time until the client gives up. */
+/** {@code costHintMicros} is 0 where there is none; {@code remainingMicros} is the time until the client gives up. */
 public record Request(
         String id,
         long key,
-        boolean repeat,
+        boolean retry,
         boolean write,
-        double costHintUs,
-        long remainingUs,
+        double costHintMicros,
+        long remainingMicros,
         String tenant,
         String requestClass) {}
--- a/src/main/java/loadbalancer/input/SettingsReader.java
+++ b/src/main/java/loadbalancer/input/SettingsReader.java
@@ -128,9 +128,9 @@
 
     private static Idempotency semantics(String word) {
         return switch (word) {
-            case "safe" -> Idempotency.SAFE;
-            case "keyed" -> Idempotency.KEYED;
-            case "unsafe" -> Idempotency.UNSAFE;
+            case "safe" -> Idempotency.IDEMPOTENT;
+            case "keyed" -> Idempotency.IDEMPOTENT_WITH_KEY;
+            case "unsafe" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new InvalidSettingsException("semantics '" + word + "' is unknown");
         };
     }
@@ -147,7 +147,7 @@
     private static LoadReporting reports(String word) {
         return switch (word) {
             case "inline" -> LoadReporting.INLINE;
-            case "on_probe" -> LoadReporting.ON_PROBE;
+            case "on_probe" -> LoadReporting.ON_HEALTH_CHECK;
             default -> LoadReporting.NONE;
         };
     }
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -206,7 +206,7 @@
             return;
         }
         // Nobody waits longer than the class allows; believed, a longer time would hold its request for days.
-        long remainingUs = Math.min(remainingMs * 1000, lane.deadlineUs());
+        long remainingUs = Math.min(remainingMs * 1000, lane.deadlineMicros());
         long marginUs = Math.min(Math.max(MARGIN_US, reads.recentLagUs()), remainingUs / 4);
         // Not known but at most: half of its time is believed all the same.
         long sentUs = arrival.sentUs - Math.min(arrival.waitedUs, remainingUs / 2);
@@ -256,8 +256,8 @@
 
     /** The method follows from the class, and so does whether there is a key. */
     private static boolean fits(FullHttpRequest m, RequestClass lane) {
-        boolean safe = lane.semantics() == Idempotency.SAFE;
-        boolean keyed = lane.semantics() == Idempotency.KEYED;
+        boolean safe = lane.idempotency() == Idempotency.IDEMPOTENT;
+        boolean keyed = lane.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
         List<String> keys = m.headers().getAll(HeaderNames.IDEMPOTENCY_KEY);
         boolean keyFits = keys.isEmpty()
                 ? !keyed
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -105,7 +105,7 @@
     public void take(List<RequestClass> known) {
         classes.clear();
         known.forEach(c -> classes.put(c.name(), c));
-        longestUs = known.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+        longestUs = known.stream().mapToLong(RequestClass::deadlineMicros).max().orElse(0);
     }
 
     /** How many connections the application holds. */
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -135,7 +135,7 @@
     }
 
     private void expired(RequestExchange x) {
-        decisions.call("a client that left", m -> m.onExpired(clock.now(), x.request.id()), () -> {});
+        decisions.call("a client that left", m -> m.onRequestExpired(clock.now(), x.request.id()), () -> {});
     }
 
     /** After a call that broke off: what the module held may be forgotten, so it is answered now. */
@@ -196,7 +196,7 @@
         long now = clock.now();
         decisions.call(
                 "an outcome",
-                m -> m.onOutcome(
+                m -> m.onAttemptOutcome(
                         now, x.request.id(), number, call.upstream(), outcome, now - call.sentUs(), x.over, report),
                 () -> failUnlessOut(x));
     }
--- a/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
@@ -15,38 +15,38 @@
 
     /** What is wrong first, by the name it has in the configuration; null where nothing is. */
     static String wrong(LoadBalancerSettings fresh, LoadBalancerSettings inForce) {
-        if (fresh.discoveryOnRequest() != inForce.discoveryOnRequest()) {
+        if (fresh.polledDiscovery() != inForce.polledDiscovery()) {
             return "'discovery' can't change while it runs";
         }
-        if (fresh.balancers() < 1 || fresh.me() < 0 || fresh.me() >= fresh.balancers()) {
+        if (fresh.sidecarCount() < 1 || fresh.sidecarIndex() < 0 || fresh.sidecarIndex() >= fresh.sidecarCount()) {
             return "'me' is not one of 'balancers'";
         }
-        if (fresh.classes().isEmpty()) {
+        if (fresh.requestClasses().isEmpty()) {
             return "'profiles' is empty";
         }
         Set<String> names = new HashSet<>();
-        for (RequestClass c : fresh.classes()) {
+        for (RequestClass c : fresh.requestClasses()) {
             if (!names.add(c.name())) {
                 return "'profiles' names '" + c.name() + "' twice";
             }
-            if (c.aimUs() <= 0 || c.deadlineUs() <= 0) {
+            if (c.latencyObjectiveMicros() <= 0 || c.deadlineMicros() <= 0) {
                 return "'profiles' leaves '" + c.name() + "' no time";
             }
-            if (!(c.worth() > 0)) {
+            if (!(c.priorityWeight() > 0)) {
                 return "'profiles' gives '" + c.name() + "' no worth";
             }
         }
         EndpointRules r = fresh.rules();
-        if (!(r.coldShare() > 0 && r.coldShare() <= 1)
-                || r.rampUs() < 0
-                || !(r.fallMultiple() > 0)
-                || r.fallWindowUs() <= 0
-                || r.drainGraceUs() < 0) {
+        if (!(r.slowStartInitialRatio() > 0 && r.slowStartInitialRatio() <= 1)
+                || r.slowStartMicros() < 0
+                || !(r.overloadMultiple() > 0)
+                || r.overloadWindowMicros() <= 0
+                || r.drainGraceMicros() < 0) {
             return "'rules' are out of their ranges";
         }
         if (fresh.limits().maxAttempts() < 1
-                || fresh.limits().dialTimeoutUs() <= 0
-                || fresh.limits().connIdleUs() <= 0) {
+                || fresh.limits().connectTimeoutMicros() <= 0
+                || fresh.limits().connectionIdleTimeoutMicros() <= 0) {
             return "'limits' are out of their ranges";
         }
         return null;
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
@@ -36,8 +36,9 @@
     /** The bounds that an operator compares with what a sidecar needs. */
     public String limits() {
         return sockets + " descriptors, "
-                + settings.classes().stream()
-                        .map(c -> c.name() + " wanted within " + c.aimUs() / 1000 + " ms of " + c.deadlineUs() / 1000)
+                + settings.requestClasses().stream()
+                        .map(c -> c.name() + " wanted within " + c.latencyObjectiveMicros() / 1000 + " ms of "
+                                + c.deadlineMicros() / 1000)
                         .collect(Collectors.joining(", "));
     }
 
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -213,7 +213,7 @@
             // The module asks again, ever later; without a working one nobody would.
             decisions.call(
                     "a call to discovery that failed",
-                    m -> m.onList(clock.now(), EndpointListType.FAILED, List.of()),
+                    m -> m.onEndpointList(clock.now(), EndpointListType.FAILED, List.of()),
                     () -> again(pauseUs));
         }
     }
@@ -262,7 +262,8 @@
                     list.entries().stream().map(EndpointList.Entry::upstream).toList();
             decisions.call(
                     "a list",
-                    m -> m.onList(clock.now(), list.whole() ? EndpointListType.FULL : EndpointListType.DELTA, entries),
+                    m -> m.onEndpointList(
+                            clock.now(), list.whole() ? EndpointListType.FULL : EndpointListType.DELTA, entries),
                     () -> {});
         }
         long restMs = PACE_MS - (clock.now() - begunUs) / 1000;
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -63,13 +63,13 @@
     private LoadBalancerActions later(LoadBalancerActions executor) {
         return new LoadBalancerActions() {
             @Override
-            public void send(String request, String upstream, long untilUs) {
-                actions.add(() -> executor.send(request, upstream, untilUs));
+            public void sendAttempt(String request, String upstream, long untilUs) {
+                actions.add(() -> executor.sendAttempt(request, upstream, untilUs));
             }
 
             @Override
-            public void refuse(String request, long retryAfterUs) {
-                actions.add(() -> executor.refuse(request, retryAfterUs));
+            public void reject(String request, long retryAfterUs) {
+                actions.add(() -> executor.reject(request, retryAfterUs));
             }
 
             @Override
@@ -78,33 +78,33 @@
             }
 
             @Override
-            public void cancel(String request, int attempt) {
-                actions.add(() -> executor.cancel(request, attempt));
+            public void cancelAttempt(String request, int attempt) {
+                actions.add(() -> executor.cancelAttempt(request, attempt));
             }
 
             @Override
-            public void probe(String upstream) {
-                actions.add(() -> executor.probe(upstream));
+            public void checkHealth(String upstream) {
+                actions.add(() -> executor.checkHealth(upstream));
             }
 
             @Override
-            public void subscribe() {
-                actions.add(executor::subscribe);
+            public void pollEndpoints() {
+                actions.add(executor::pollEndpoints);
             }
 
             @Override
-            public void tell(int peer, byte[] message) {
-                actions.add(() -> executor.tell(peer, message));
+            public void sendGossip(int peer, byte[] message) {
+                actions.add(() -> executor.sendGossip(peer, message));
             }
 
             @Override
-            public void close(String upstream) {
-                actions.add(() -> executor.close(upstream));
+            public void closeIdleConnections(String upstream) {
+                actions.add(() -> executor.closeIdleConnections(upstream));
             }
 
             @Override
-            public void timer(String mark, long delayUs) {
-                actions.add(() -> executor.timer(mark, delayUs));
+            public void startTimer(String mark, long delayUs) {
+                actions.add(() -> executor.startTimer(mark, delayUs));
             }
 
             @Override
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -73,7 +73,7 @@
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            decisions.call("a peer's word", m -> m.onPeer(clock.now(), number, message), () -> {});
+            decisions.call("a peer's word", m -> m.onGossip(clock.now(), number, message), () -> {});
         }
 
         /** The network says of an earlier datagram that nobody was there: no reason to stop listening. */
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -103,9 +103,9 @@
         int spare = config.sockets() / 12;
         upstreams = new UpstreamConnectionPool(
                 reads,
-                settings.limits().connIdleUs(),
+                settings.limits().connectionIdleTimeoutMicros(),
                 UpstreamConnectionPool.REST_US,
-                settings.limits().dialTimeoutUs(),
+                settings.limits().connectTimeoutMicros(),
                 stallUs(settings),
                 () -> most - openFromClients(),
                 totals);
@@ -118,14 +118,14 @@
                 upstreams,
                 config.discovery(),
                 config.known().generation(),
-                !settings.discoveryOnRequest(),
+                !settings.polledDiscovery(),
                 patience,
                 backoff);
         peers = new GossipTransport(clock, decisions, config.peers(), config.peersAll());
         clients = new ClientServer(
                 reads,
                 requests,
-                settings.classes(),
+                settings.requestClasses(),
                 () -> discovery.heard() && upstreams.anyReady(),
                 fromClients,
                 () -> openFromClients() + upstreams.open() < most || upstreams.dropOldestIdle(),
@@ -139,8 +139,10 @@
 
     /** A quarter of the time within which an answer is wanted leaves enough of it for another attempt. */
     private static long stallUs(LoadBalancerSettings settings) {
-        long aim =
-                settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElse(0);
+        long aim = settings.requestClasses().stream()
+                .mapToLong(RequestClass::latencyObjectiveMicros)
+                .min()
+                .orElse(0);
         return Math.max(STALL_LEAST_US, aim / 4);
     }
 
@@ -210,7 +212,7 @@
         loop.submit(() -> decisions.start(
                         actions -> {
                             LoadBalancer made = module.create(config, clock.now(), actions);
-                            made.onList(
+                            made.onEndpointList(
                                     clock.now(),
                                     EndpointListType.CACHED,
                                     config.known().entries().stream()
@@ -308,8 +310,11 @@
         // The module first: no request of a new class may come to one that does not know it.
         decisions.call("new settings", m -> m.onSettings(clock.now(), settings), () -> {});
         requests.allow(settings.limits().maxAttempts());
-        upstreams.allow(settings.limits().connIdleUs(), settings.limits().dialTimeoutUs(), stallUs(settings));
-        clients.take(settings.classes());
+        upstreams.allow(
+                settings.limits().connectionIdleTimeoutMicros(),
+                settings.limits().connectTimeoutMicros(),
+                stallUs(settings));
+        clients.take(settings.requestClasses());
     }
 
     /** {@code stopped} runs when all that was taken has been answered and all connections are closed. */
@@ -326,12 +331,12 @@
     /** Carries out what the module decides. */
     private final class DecisionExecutor implements LoadBalancerActions {
         @Override
-        public void send(String request, String upstream, long untilUs) {
+        public void sendAttempt(String request, String upstream, long untilUs) {
             requests.send(request, upstream, untilUs);
         }
 
         @Override
-        public void refuse(String request, long retryAfterUs) {
+        public void reject(String request, long retryAfterUs) {
             requests.refuse(request, retryAfterUs);
         }
 
@@ -341,12 +346,12 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) {
+        public void cancelAttempt(String request, int attempt) {
             requests.cancel(request, attempt);
         }
 
         @Override
-        public void probe(String upstream) {
+        public void checkHealth(String upstream) {
             upstreams.start(new UpstreamCall(
                     upstream,
                     clock.now() + PROBE_US,
@@ -354,7 +359,7 @@
                     left -> probe(),
                     (call, outcome, report, body) -> decisions.call(
                             "a probe",
-                            m -> m.onProbe(clock.now(), upstream, outcome, clock.now() - call.sentUs(), report),
+                            m -> m.onHealthCheck(clock.now(), upstream, outcome, clock.now() - call.sentUs(), report),
                             () -> {})));
         }
 
@@ -363,22 +368,22 @@
         }
 
         @Override
-        public void subscribe() {
+        public void pollEndpoints() {
             discovery.subscribe();
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendGossip(int peer, byte[] message) {
             peers.tell(peer, message);
         }
 
         @Override
-        public void close(String upstream) {
+        public void closeIdleConnections(String upstream) {
             upstreams.close(upstream);
         }
 
         @Override
-        public void timer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayUs) {
             loop.schedule(
                     () -> decisions.call("a timer", m -> m.onTimer(clock.now(), mark), requests::failHeld),
                     delayUs,
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -170,18 +170,20 @@
         }
 
         private void ask(ChannelHandlerContext ctx) {
-            List<RequestClass> classes = config.settings().classes();
+            List<RequestClass> classes = config.settings().requestClasses();
             RequestClass c = classes.get(begun++ % classes.size());
             FullHttpRequest request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, c.semantics() == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST, "/api");
+                    HttpVersion.HTTP_1_1,
+                    c.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST,
+                    "/api");
             request.headers()
                     .set(HttpHeaderNames.HOST, "api.internal")
                     .set(HeaderNames.TXN, "rehearsal-" + begun)
                     .set(HeaderNames.CLASS, c.name())
-                    .set(HeaderNames.REMAINING, Math.max(1, c.deadlineUs() / 1000))
+                    .set(HeaderNames.REMAINING, Math.max(1, c.deadlineMicros() / 1000))
                     .set(HttpHeaderNames.COOKIE, HeaderNames.KEY_COOKIE + "=" + begun)
                     .set(HttpHeaderNames.CONTENT_LENGTH, 0);
-            if (c.semantics() == Idempotency.KEYED) {
+            if (c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
                 request.headers().set(HeaderNames.IDEMPOTENCY_KEY, "rehearsal-" + begun);
             }
             ctx.writeAndFlush(request);
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -21,7 +21,7 @@
                     switch (e.text("lifecycle")) {
                         case "Ready" -> EndpointState.READY;
                         case "Terminating" -> EndpointState.DRAINING;
-                        case "Gone" -> EndpointState.GONE;
+                        case "Gone" -> EndpointState.REMOVED;
                         default -> throw new IllegalArgumentException(
                                 "lifecycle '" + e.text("lifecycle") + "' is unknown");
                     };
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -120,7 +120,7 @@
 
     /** What came is no answer; without its last byte written the request has not run all the same. */
     void spoilt() {
-        end(written ? AttemptOutcome.SPOILT : AttemptOutcome.CONNECT_FAILED, null, null);
+        end(written ? AttemptOutcome.MALFORMED_RESPONSE : AttemptOutcome.CONNECT_FAILED, null, null);
     }
 
     void timedOut() {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -147,7 +147,7 @@
                         : response.headers().get(HeaderNames.LOAD));
         if (current.reportInBody() && outcome == AttemptOutcome.OK && report == null) {
             // A probe whose report can't be read tells neither of load nor of a server without reports.
-            outcome = AttemptOutcome.SPOILT;
+            outcome = AttemptOutcome.MALFORMED_RESPONSE;
         }
         if (!current.written() && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
             // It can't answer what it has not got: this was meant for somebody else.
@@ -167,7 +167,7 @@
                     : AttemptOutcome.ERROR;
                 // What the client sent was no good: that is not the upstream's fault, and no other would like it
                 // better.
-            default -> code >= 400 && code < 500 ? AttemptOutcome.INVALID : AttemptOutcome.ERROR;
+            default -> code >= 400 && code < 500 ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.ERROR;
         };
     }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -46,12 +46,12 @@
 
         Target(EndpointList.Entry entry) {
             address = entry.address();
-            startedUs = entry.upstream().startedUs();
+            startedUs = entry.upstream().startedMicros();
         }
 
         boolean is(EndpointList.Entry entry) {
             return address.equals(entry.address())
-                    && startedUs == entry.upstream().startedUs();
+                    && startedUs == entry.upstream().startedMicros();
         }
     }
 
@@ -115,7 +115,7 @@
             if (t.state != EndpointState.READY) {
                 close(t);
             }
-            if (t.state == EndpointState.GONE) {
+            if (t.state == EndpointState.REMOVED) {
                 // Its successors come under new ids: kept, the map would grow with each of them.
                 targets.remove(id);
             }
@@ -147,7 +147,7 @@
 
     private void forget(Target t) {
         if (t != null) {
-            t.state = EndpointState.GONE;
+            t.state = EndpointState.REMOVED;
             close(t);
         }
     }
@@ -285,7 +285,9 @@
                 call.channel.close();
                 // What can't be put into words is its client's fault: no upstream has seen it.
                 call.end(
-                        f.cause() instanceof EncoderException ? AttemptOutcome.INVALID : AttemptOutcome.CONNECT_FAILED,
+                        f.cause() instanceof EncoderException
+                                ? AttemptOutcome.INVALID_REQUEST
+                                : AttemptOutcome.CONNECT_FAILED,
                         null,
                         null);
             }
--- a/src/main/java/loadbalancer/settings/EndpointRules.java
+++ b/src/main/java/loadbalancer/settings/EndpointRules.java
@@ -1,12 +1,12 @@
 package loadbalancer.settings;
 
-/** {@code closeOnDrainUs} is 0 where idle connections to a draining upstream may stay open. */
+/** {@code closeOnDrainMicros} is 0 where idle connections to a draining upstream may stay open. */
 public record EndpointRules(
-        long drainGraceUs,
-        double coldShare,
-        long rampUs,
-        double fallMultiple,
-        long fallWindowUs,
-        long askEveryUs,
-        long answerSlackUs,
-        long closeOnDrainUs) {}
+        long drainGraceMicros,
+        double slowStartInitialRatio,
+        long slowStartMicros,
+        double overloadMultiple,
+        long overloadWindowMicros,
+        long pollIntervalMicros,
+        long responseSlackMicros,
+        long closeOnDrainMicros) {}
--- a/src/main/java/loadbalancer/settings/Idempotency.java
+++ b/src/main/java/loadbalancer/settings/Idempotency.java
@@ -2,7 +2,7 @@
 
 /** May a request be repeated: always, with its key within a window, or never. */
 public enum Idempotency {
-    SAFE,
-    KEYED,
-    UNSAFE
+    IDEMPOTENT,
+    IDEMPOTENT_WITH_KEY,
+    NOT_IDEMPOTENT
 }
--- a/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
@@ -4,18 +4,18 @@
 
 /** All that an instance is told at its start or by a reload. */
 public record LoadBalancerSettings(
-        int me,
-        int balancers,
+        int sidecarIndex,
+        int sidecarCount,
         String zone,
         List<String> zones,
-        List<String> kinds,
-        List<RequestClass> classes,
+        List<String> machineTypes,
+        List<RequestClass> requestClasses,
         List<Tenant> tenants,
         RequestLimits limits,
         EndpointRules rules,
-        LoadReporting reports,
-        boolean discoveryOnRequest,
-        boolean worthByWork,
-        double overShareWorth,
+        LoadReporting loadReporting,
+        boolean polledDiscovery,
+        boolean weightByWork,
+        double overQuotaWeight,
         UsagePrices prices,
-        long tickUs) {}
+        long clockTickMicros) {}
--- a/src/main/java/loadbalancer/settings/LoadReporting.java
+++ b/src/main/java/loadbalancer/settings/LoadReporting.java
@@ -4,5 +4,5 @@
 public enum LoadReporting {
     NONE,
     INLINE,
-    ON_PROBE
+    ON_HEALTH_CHECK
 }
--- a/src/main/java/loadbalancer/settings/RequestClass.java
+++ b/src/main/java/loadbalancer/settings/RequestClass.java
@@ -1,14 +1,14 @@
 package loadbalancer.settings;
 
-/** A class of requests. Times in microseconds; {@code worth} in points of the result. */
+/** A class of requests. Times in microseconds; {@code priorityWeight} in points of the result. */
 public record RequestClass(
         String name,
-        Idempotency semantics,
-        DeduplicationScope group,
-        long windowUs,
-        long aimUs,
-        double aimStretch,
-        long deadlineUs,
-        double worth,
-        double lateWorth,
-        boolean stream) {}
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        long deduplicationWindowMicros,
+        long latencyObjectiveMicros,
+        double latencyObjectiveWorkRatio,
+        long deadlineMicros,
+        double priorityWeight,
+        double lateWeight,
+        boolean streaming) {}
--- a/src/main/java/loadbalancer/settings/RequestLimits.java
+++ b/src/main/java/loadbalancer/settings/RequestLimits.java
@@ -1,14 +1,14 @@
 package loadbalancer.settings;
 
-/** {@code dialTimeoutUs}: a send that needs a new connection reaches its upstream at most so much later. */
+/** {@code connectTimeoutMicros}: a send that needs a new connection reaches its upstream at most so much later. */
 public record RequestLimits(
         int maxAttempts,
-        boolean secondCopies,
-        boolean cancelling,
-        boolean probing,
-        boolean peers,
+        boolean hedging,
+        boolean cancellation,
+        boolean healthChecks,
+        boolean gossip,
         boolean retryAfter,
-        long maxRetryAfterUs,
-        long connIdleUs,
-        long dialTimeoutUs,
-        double cpuUsPerRequest) {}
+        long maxRetryAfterMicros,
+        long connectionIdleTimeoutMicros,
+        long connectTimeoutMicros,
+        double cpuMicrosPerRequest) {}
--- a/src/main/java/loadbalancer/settings/UsagePrices.java
+++ b/src/main/java/loadbalancer/settings/UsagePrices.java
@@ -1,4 +1,4 @@
 package loadbalancer.settings;
 
 /** Points of the result for each unit of use; 0 where it is free. */
-public record UsagePrices(double crossZone, double peer, double probe, double connection, double handshake) {}
+public record UsagePrices(double crossZone, double gossip, double healthCheck, double connection, double handshake) {}
--- a/src/main/java/loadbalancer/simulation/NoOpActions.java
+++ b/src/main/java/loadbalancer/simulation/NoOpActions.java
@@ -5,31 +5,31 @@
 /** Actions that the models have nothing to do for: no probes, watches, connections or operators here. */
 class NoOpActions implements LoadBalancerActions {
     @Override
-    public void send(String request, String upstream, long untilUs) {}
+    public void sendAttempt(String request, String upstream, long untilUs) {}
 
     @Override
-    public void refuse(String request, long retryAfterUs) {}
+    public void reject(String request, long retryAfterUs) {}
 
     @Override
     public void fail(String request) {}
 
     @Override
-    public void cancel(String request, int attempt) {}
+    public void cancelAttempt(String request, int attempt) {}
 
     @Override
-    public void probe(String upstream) {}
+    public void checkHealth(String upstream) {}
 
     @Override
-    public void subscribe() {}
+    public void pollEndpoints() {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendGossip(int peer, byte[] message) {}
 
     @Override
-    public void close(String upstream) {}
+    public void closeIdleConnections(String upstream) {}
 
     @Override
-    public void timer(String mark, long delayUs) {}
+    public void startTimer(String mark, long delayUs) {}
 
     @Override
     public void log(String text) {}
--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -71,9 +71,9 @@
 
     private LoadBalancingPolicy module(int sidecars) {
         LoadBalancingPolicy made = new LoadBalancingPolicy(shape.settings(0), 1, nowUs, new Keeping());
-        made.onList(nowUs, EndpointListType.FULL, list);
+        made.onEndpointList(nowUs, EndpointListType.FULL, list);
         for (int peer = 1; peer < sidecars; peer++) {
-            made.onPeer(nowUs, peer, words.get(peer % words.size()));
+            made.onGossip(nowUs, peer, words.get(peer % words.size()));
         }
         return made;
     }
@@ -82,13 +82,13 @@
     private void words(int sidecars) {
         Keeping actions = new Keeping() {
             @Override
-            public void tell(int peer, byte[] message) {
+            public void sendGossip(int peer, byte[] message) {
                 words.add(message);
             }
         };
         LoadBalancingPolicy other =
                 new LoadBalancingPolicy(shape.settings(Math.min(1, sidecars - 1)), 2, nowUs, actions);
-        other.onList(nowUs, EndpointListType.FULL, list);
+        other.onEndpointList(nowUs, EndpointListType.FULL, list);
         for (int i = 1; i <= 200; i++) {
             other.onRequest(
                     nowUs + i * 13_000L,
@@ -127,7 +127,7 @@
     private void outcome() {
         if (!sends.isEmpty()) {
             String[] s = sends.remove(random.nextInt(sends.size()));
-            module.onOutcome(nowUs, s[0], 0, s[1], AttemptOutcome.OK, (long) FleetShape.WORK_US, true, null);
+            module.onAttemptOutcome(nowUs, s[0], 0, s[1], AttemptOutcome.OK, (long) FleetShape.WORK_US, true, null);
         }
     }
 
@@ -184,18 +184,19 @@
         return each(
                 200,
                 () -> peer[0] = 1 + peer[0] % (shape.sidecars() - 1),
-                () -> module.onPeer(nowUs, peer[0], words.get(0)));
+                () -> module.onGossip(nowUs, peer[0], words.get(0)));
     }
 
     double deltaUs() {
         return each(
                 20,
                 () -> nowUs += 10_000,
-                () -> module.onList(nowUs, EndpointListType.DELTA, List.of(list.get(random.nextInt(list.size())))));
+                () -> module.onEndpointList(
+                        nowUs, EndpointListType.DELTA, List.of(list.get(random.nextInt(list.size())))));
     }
 
     double wholeListUs() {
-        return each(5, () -> nowUs += 10_000, () -> module.onList(nowUs, EndpointListType.FULL, list));
+        return each(5, () -> nowUs += 10_000, () -> module.onEndpointList(nowUs, EndpointListType.FULL, list));
     }
 
     /** Settings read from their words and put in force. */
@@ -210,7 +211,7 @@
 
     private class Keeping extends NoOpActions {
         @Override
-        public void send(String request, String upstream, long untilUs) {
+        public void sendAttempt(String request, String upstream, long untilUs) {
             sends.add(new String[] {request, upstream});
         }
     }
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -37,15 +37,15 @@
         believedRate = -1;
         module = new LoadBalancingPolicy(
                 fleet.shape().settings(me), fleet.shape().seed() * 1_000_003 + me * 31L + process, fleet.now(), this);
-        module.onList(fleet.now(), EndpointListType.FULL, known);
+        module.onEndpointList(fleet.now(), EndpointListType.FULL, known);
     }
 
     void changed(Endpoint entry) {
-        module.onList(fleet.now(), EndpointListType.DELTA, List.of(entry));
+        module.onEndpointList(fleet.now(), EndpointListType.DELTA, List.of(entry));
     }
 
     void heard(int peer, byte[] word) {
-        module.onPeer(fleet.now(), peer, word);
+        module.onGossip(fleet.now(), peer, word);
     }
 
     void request(String requestClass) {
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void send(String request, String upstream, long untilUs) {
+    public void sendAttempt(String request, String upstream, long untilUs) {
         int number = attempts.merge(request, 1, Integer::sum) - 1;
         long sentUs = fleet.now();
         long doneUs = fleet.serve(upstream);
@@ -76,7 +76,7 @@
                 attempts.remove(request);
                 fleet.served();
             }
-            module.onOutcome(
+            module.onAttemptOutcome(
                     fleet.now(),
                     request,
                     number,
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfterUs) {
+    public void reject(String request, long retryAfterUs) {
         attempts.remove(request);
     }
 
@@ -99,12 +99,12 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendGossip(int peer, byte[] message) {
         fleet.tell(me, peer, message);
     }
 
     @Override
-    public void timer(String mark, long delayUs) {
+    public void startTimer(String mark, long delayUs) {
         later(delayUs, () -> module.onTimer(fleet.now(), mark));
     }
 
--- a/src/main/java/loadbalancer/simulator/SimulatorHost.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorHost.java
@@ -160,7 +160,7 @@
                 if (entries == null) {
                     throw new SimulatorProtocolException("ANNOUNCE names PAGE " + number + ", which was never sent");
                 }
-                guarded(name, () -> instance.balancer.onList(now, kind, entries));
+                guarded(name, () -> instance.balancer.onEndpointList(now, kind, entries));
             }
             case "ACCEPT" -> {
                 String id = f.text();
@@ -183,7 +183,8 @@
                 LoadReport report = report(f.textOrNull(), instance.reportFields);
                 guarded(
                         name,
-                        () -> instance.balancer.onOutcome(now, id, attempt, upstream, outcome, latency, done, report));
+                        () -> instance.balancer.onAttemptOutcome(
+                                now, id, attempt, upstream, outcome, latency, done, report));
             }
             case "OPENED" -> {
                 String id = f.text();
@@ -197,16 +198,16 @@
                 AttemptOutcome outcome = outcome(f.text());
                 long latency = f.numberOr(0);
                 LoadReport report = report(f.textOrNull(), instance.reportFields);
-                guarded(name, () -> instance.balancer.onProbe(now, upstream, outcome, latency, report));
+                guarded(name, () -> instance.balancer.onHealthCheck(now, upstream, outcome, latency, report));
             }
             case "EXPIRED" -> {
                 String id = f.text();
-                guarded(name, () -> instance.balancer.onExpired(now, id));
+                guarded(name, () -> instance.balancer.onRequestExpired(now, id));
             }
             case "MAIL" -> {
                 int peer = (int) f.number();
                 byte[] message = bytes(f.textOrNull());
-                guarded(name, () -> instance.balancer.onPeer(now, peer, message));
+                guarded(name, () -> instance.balancer.onGossip(now, peer, message));
             }
             case "DEADLINE_HIT" -> {
                 String mark = f.text();
@@ -302,7 +303,7 @@
         }
 
         @Override
-        public void send(String request, String upstream, long untilUs) {
+        public void sendAttempt(String request, String upstream, long untilUs) {
             line("ASSIGN ")
                     .append(request)
                     .append(' ')
@@ -313,7 +314,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfterUs) {
+        public void reject(String request, long retryAfterUs) {
             line("DENY ").append(request).append(' ').append(retryAfterUs).append('\n');
         }
 
@@ -323,22 +324,22 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) {
+        public void cancelAttempt(String request, int attempt) {
             line("REVOKE ").append(request).append(' ').append(attempt).append('\n');
         }
 
         @Override
-        public void probe(String upstream) {
+        public void checkHealth(String upstream) {
             line("SAMPLE ").append(upstream).append('\n');
         }
 
         @Override
-        public void subscribe() {
+        public void pollEndpoints() {
             line("TRACK 1\n");
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendGossip(int peer, byte[] message) {
             line("WRITE_PEER ")
                     .append(peer)
                     .append(' ')
@@ -347,12 +348,12 @@
         }
 
         @Override
-        public void close(String upstream) {
+        public void closeIdleConnections(String upstream) {
             line("LET_GO ").append(upstream).append('\n');
         }
 
         @Override
-        public void timer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayUs) {
             line("SCHEDULE ").append(mark).append(' ').append(delayUs).append('\n');
         }
 
--- a/src/test/java/loadbalancer/decision/LoadBalancingPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/LoadBalancingPolicyTest.java
@@ -43,7 +43,7 @@
     @Test
     void aTimeoutAtTheDeadlineIsAnsweredWithAFailure() {
         PolicyFixture rig = new PolicyFixture();
-        rig.semantics = Idempotency.KEYED;
+        rig.semantics = Idempotency.IDEMPOTENT_WITH_KEY;
         rig.group = DeduplicationScope.ZONE;
         rig.start().list(A).request("r").after(800_000).outcome("r", 0, "a", AttemptOutcome.TIMEOUT, 800_000);
         assertEquals(1, rig.take("fail r").size());
@@ -54,7 +54,7 @@
     void nothingFollowsAfterTheClientHasLeft() {
         PolicyFixture rig = new PolicyFixture().start().list(A, B);
         rig.request("r");
-        rig.policy.onExpired(rig.now, "r");
+        rig.policy.onRequestExpired(rig.now, "r");
         rig.after(10_000).outcome("r", 0, rig.sentTo("r", 0), AttemptOutcome.CONNECT_FAILED, 10_000);
         assertEquals(1, rig.take("send r").size());
         assertTrue(rig.take("fail").isEmpty() && rig.take("refuse").isEmpty());
@@ -66,7 +66,7 @@
         rig.stream = true;
         rig.start().list(A, B).request("r");
         rig.policy.onStreamStart(rig.now, "r", 0, rig.sentTo("r", 0), 5_000);
-        rig.policy.onOutcome(rig.now, "r", 0, rig.sentTo("r", 0), AttemptOutcome.RESET, 9_000, true, null);
+        rig.policy.onAttemptOutcome(rig.now, "r", 0, rig.sentTo("r", 0), AttemptOutcome.RESET, 9_000, true, null);
         assertEquals(1, rig.take("send").size());
         assertTrue(rig.take("fail").isEmpty() && rig.take("refuse").isEmpty());
     }
@@ -76,7 +76,7 @@
     @Test
     void unsafeIsNeitherRepeatedNorRefusedOnceItMayHaveRun() {
         PolicyFixture rig = new PolicyFixture();
-        rig.semantics = Idempotency.UNSAFE;
+        rig.semantics = Idempotency.NOT_IDEMPOTENT;
         rig.start().list(A, B).request("r").after(10_000);
         rig.outcome("r", 0, rig.sentTo("r", 0), AttemptOutcome.ERROR, 10_000);
         assertEquals(1, rig.take("send r").size());
@@ -87,7 +87,7 @@
     @Test
     void unsafeGoesAgainWhereItProvablyNeverRan() {
         PolicyFixture rig = new PolicyFixture();
-        rig.semantics = Idempotency.UNSAFE;
+        rig.semantics = Idempotency.NOT_IDEMPOTENT;
         rig.start().list(A, B).request("r").after(10_000);
         rig.outcome("r", 0, rig.sentTo("r", 0), AttemptOutcome.CONNECT_FAILED, 10_000);
         assertNotNull(rig.sentTo("r", 1));
@@ -99,7 +99,7 @@
         for (int seed = 0; seed < 20; seed++) {
             PolicyFixture rig = new PolicyFixture();
             rig.seed = seed;
-            rig.semantics = Idempotency.KEYED;
+            rig.semantics = Idempotency.IDEMPOTENT_WITH_KEY;
             rig.group = DeduplicationScope.ZONE;
             rig.start().list(A, B, PolicyFixture.up("c", "zb", 3)).request("r").after(10_000);
             String first = rig.sentTo("r", 0);
@@ -115,7 +115,7 @@
     @Test
     void keyedStaysInItsCellAndItsWindow() {
         PolicyFixture rig = new PolicyFixture();
-        rig.semantics = Idempotency.KEYED;
+        rig.semantics = Idempotency.IDEMPOTENT_WITH_KEY;
         rig.group = DeduplicationScope.CELL;
         rig.start()
                 .list(A, B)
@@ -126,7 +126,7 @@
         assertTrue(second == null || second.equals(rig.sentTo("r", 0)));
 
         PolicyFixture late = new PolicyFixture();
-        late.semantics = Idempotency.KEYED;
+        late.semantics = Idempotency.IDEMPOTENT_WITH_KEY;
         late.windowUs = 5_000;
         late.start()
                 .list(A, B)
@@ -144,7 +144,7 @@
     void aKeyedRepeatIsThereWithinTheWindowHoweverLateItsConnection() {
         for (long windowUs : new long[] {259_000, 261_000}) {
             PolicyFixture rig = new PolicyFixture();
-            rig.semantics = Idempotency.KEYED;
+            rig.semantics = Idempotency.IDEMPOTENT_WITH_KEY;
             rig.windowUs = windowUs;
             rig.start().list(A, B).request("r").after(10_000);
             rig.outcome("r", 0, rig.sentTo("r", 0), AttemptOutcome.ERROR, 10_000);
@@ -194,12 +194,12 @@
     @Test
     void nothingGoesToAServerToldDrainingOrGone() {
         PolicyFixture rig = new PolicyFixture().start().list(A, B);
-        rig.policy.onList(
+        rig.policy.onEndpointList(
                 rig.now,
                 EndpointListType.DELTA,
                 List.of(new Endpoint("a", "za", "k", 1, 0, 1, EndpointState.DRAINING)));
         rig.request("r1").request("r2");
-        rig.policy.onList(rig.now, EndpointListType.FULL, List.of(A));
+        rig.policy.onEndpointList(rig.now, EndpointListType.FULL, List.of(A));
         rig.after(1).request("r3");
         assertEquals("b", rig.sentTo("r1", 0));
         assertEquals("b", rig.sentTo("r2", 0));
@@ -288,7 +288,7 @@
                     for (int peer = 0; peer < 20; peer++) {
                         GossipMessage word = new GossipMessage(1);
                         word.rate = peer == 0 ? 40 : 3;
-                        rig.policy.onPeer(rig.now, (peer == 0 ? 0 : i + peer) % n, word.bytes());
+                        rig.policy.onGossip(rig.now, (peer == 0 ? 0 : i + peer) % n, word.bytes());
                     }
                 }
                 // 40 a second at the first sidecar, 3 at each other: 337, of about 460 that the servers can do.
@@ -359,7 +359,7 @@
                 rig.actions.clear();
                 rig.after(5_000);
                 if (asked) {
-                    rig.policy.onProbe(
+                    rig.policy.onHealthCheck(
                             rig.now, "a", AttemptOutcome.OK, 1_000, new LoadReport(held, Math.max(0, held - 1), 1));
                 }
                 if (step % 100 == 0) {
@@ -379,7 +379,7 @@
     // ---- connections ----------------------------------------------------------------------------
 
     private static Endpoint state(Endpoint u, EndpointState state) {
-        return new Endpoint(u.id(), u.zone(), u.kind(), u.cell(), u.startedUs(), 1, state);
+        return new Endpoint(u.id(), u.zone(), u.machineType(), u.cell(), u.startedMicros(), 1, state);
     }
 
     @Test
@@ -388,12 +388,12 @@
             PolicyFixture rig = new PolicyFixture();
             rig.closeOnDrainUs = within;
             rig.start().list(A).request("r").request("s");
-            rig.policy.onList(rig.now, EndpointListType.DELTA, List.of(state(A, EndpointState.DRAINING)));
+            rig.policy.onEndpointList(rig.now, EndpointListType.DELTA, List.of(state(A, EndpointState.DRAINING)));
             assertEquals(within > 0 ? 1 : 0, rig.take("close a").size());
             rig.after(50_000).outcome("r", 0, "a", AttemptOutcome.OK, 50_000);
             assertEquals(within > 0 ? 2 : 0, rig.take("close a").size());
             // It comes back: no more closing.
-            rig.policy.onList(rig.now, EndpointListType.DELTA, List.of(A));
+            rig.policy.onEndpointList(rig.now, EndpointListType.DELTA, List.of(A));
             rig.after(50_000).outcome("s", 0, "a", AttemptOutcome.OK, 100_000);
             assertEquals(within > 0 ? 2 : 0, rig.take("close a").size());
         }
@@ -405,7 +405,7 @@
         rig.closeOnDrainUs = 500_000;
         rig.start().list(A, B).request("r");
         String used = rig.sentTo("r", 0);
-        rig.policy.onList(rig.now, EndpointListType.FULL, List.of());
+        rig.policy.onEndpointList(rig.now, EndpointListType.FULL, List.of());
         assertEquals(List.of("close " + used), rig.take("close"));
     }
 
@@ -489,7 +489,7 @@
         word.rate = rate;
         word.held = held;
         for (int peer = 1; peer < 14; peer++) {
-            rig.policy.onPeer(rig.now, peer, word.bytes());
+            rig.policy.onGossip(rig.now, peer, word.bytes());
         }
     }
 
@@ -586,12 +586,12 @@
         word.cores[0] = 4;
         word.answers[0] = 40;
         for (int peer = 1; peer < 14; peer++) {
-            rig.policy.onPeer(rig.now, peer, word.bytes());
+            rig.policy.onGossip(rig.now, peer, word.bytes());
         }
         double cores = rig.policy.kinds.get("k").cores;
         assertTrue(cores > 3 && cores <= 4, "cores " + cores);
         word.cores[0] = 255;
-        rig.policy.onPeer(rig.now, 1, word.bytes());
+        rig.policy.onGossip(rig.now, 1, word.bytes());
         assertTrue(rig.policy.kinds.get("k").cores < 3 * cores, "one false word moves little");
     }
 
@@ -631,8 +631,8 @@
         assertEquals(2, rig.take("probe").size());
         assertNull(rig.sentTo("r", 0));
         rig.after(1_000);
-        rig.policy.onProbe(rig.now, "a", AttemptOutcome.OK, 1_000, new LoadReport(2, 1, 1));
-        rig.policy.onProbe(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
+        rig.policy.onHealthCheck(rig.now, "a", AttemptOutcome.OK, 1_000, new LoadReport(2, 1, 1));
+        rig.policy.onHealthCheck(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
         assertEquals("b", rig.sentTo("r", 0));
     }
 
@@ -640,7 +640,7 @@
     @Test
     void oneThatDoesNotAnswerByTheNextSweepLoses() {
         PolicyFixture rig = sampling().request("r").after(1_000);
-        rig.policy.onProbe(rig.now, "a", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
+        rig.policy.onHealthCheck(rig.now, "a", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
         assertNull(rig.sentTo("r", 0));
         rig.after(5_000).fire("hold");
         assertEquals("a", rig.sentTo("r", 0));
@@ -649,12 +649,12 @@
     @Test
     void aProbeAnsweredWithoutALoadCountsAsBusy() {
         PolicyFixture rig = sampling().request("r").after(1_000);
-        rig.policy.onProbe(rig.now, "a", AttemptOutcome.OK, 1_000, null);
-        rig.policy.onProbe(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(1, 0, 1));
+        rig.policy.onHealthCheck(rig.now, "a", AttemptOutcome.OK, 1_000, null);
+        rig.policy.onHealthCheck(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(1, 0, 1));
         for (int i = 0; i < 3 && rig.sentTo("r", 0) == null; i++) {
             rig.after(5_000);
-            rig.policy.onProbe(rig.now, "a", AttemptOutcome.OK, 1_000, null);
-            rig.policy.onProbe(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(1, 0, 1));
+            rig.policy.onHealthCheck(rig.now, "a", AttemptOutcome.OK, 1_000, null);
+            rig.policy.onHealthCheck(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(1, 0, 1));
             rig.fire("hold");
         }
         assertEquals("b", rig.sentTo("r", 0));
@@ -665,7 +665,7 @@
     void oneSwallowedRequestDoesNotKeepOthersFromAServerThatAnswers() {
         PolicyFixture rig = new PolicyFixture();
         rig.reports = LoadReporting.NONE;
-        rig.semantics = Idempotency.UNSAFE;
+        rig.semantics = Idempotency.NOT_IDEMPOTENT;
         rig.start().list(A).request("swallowed");
         for (int i = 0; i < 30; i++) {
             rig.after(1_000).request("n" + i);
@@ -698,7 +698,7 @@
     @Test
     void anOverdueAttemptIsCopiedOnlyWhereItsServerIsMute() {
         for (boolean mute : new boolean[] {true, false}) {
-            for (Idempotency semantics : new Idempotency[] {Idempotency.SAFE, Idempotency.UNSAFE}) {
+            for (Idempotency semantics : new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT}) {
                 PolicyFixture rig = new PolicyFixture();
                 rig.probing = rig.secondCopies = true;
                 rig.semantics = semantics;
@@ -707,27 +707,27 @@
                     // Saves up a copy, and tells that both are idle.
                     rig.request("w" + i).after(1_000);
                     for (String id : new String[] {"a", "b"}) {
-                        rig.policy.onProbe(rig.now, id, AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
+                        rig.policy.onHealthCheck(rig.now, id, AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
                     }
                     rig.outcome("w" + i, 0, rig.sentTo("w" + i, 0), AttemptOutcome.OK, 50_000);
                 }
                 rig.request("r").after(1_000);
                 for (String id : new String[] {"a", "b"}) {
-                    rig.policy.onProbe(rig.now, id, AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
+                    rig.policy.onHealthCheck(rig.now, id, AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
                 }
                 String slow = rig.sentTo("r", 0);
                 rig.actions.clear();
                 rig.after(150_000).fire("late:r");
-                if (semantics == Idempotency.SAFE) {
+                if (semantics == Idempotency.IDEMPOTENT) {
                     assertEquals(List.of("probe " + slow), rig.take("probe"));
                 }
                 rig.after(5_000);
                 if (!mute) {
-                    rig.policy.onProbe(rig.now, slow, AttemptOutcome.OK, 1_000, new LoadReport(1, 0, 1));
+                    rig.policy.onHealthCheck(rig.now, slow, AttemptOutcome.OK, 1_000, new LoadReport(1, 0, 1));
                 }
                 rig.fire("mute:r");
                 assertEquals(
-                        mute && semantics == Idempotency.SAFE ? 1 : 0,
+                        mute && semantics == Idempotency.IDEMPOTENT ? 1 : 0,
                         rig.take("send r").size());
             }
         }
@@ -740,8 +740,8 @@
         rig.probing = true;
         rig.balancers = 1;
         rig.start().list(A, B).request("r").after(1_000);
-        rig.policy.onProbe(rig.now, "a", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
-        rig.policy.onProbe(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
+        rig.policy.onHealthCheck(rig.now, "a", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
+        rig.policy.onHealthCheck(rig.now, "b", AttemptOutcome.OK, 1_000, new LoadReport(0, 0, 0));
         String first = rig.sentTo("r", 0);
         rig.actions.clear();
         rig.after(20_000).request("s");
@@ -781,7 +781,12 @@
             for (int attempt = 0; rig.sentTo("r" + i, attempt) != null; attempt++) {
                 String to = rig.sentTo("r" + i, attempt);
                 spoils.add(to);
-                rig.outcome("r" + i, attempt, to, to.equals("a") ? AttemptOutcome.SPOILT : AttemptOutcome.OK, 75_000);
+                rig.outcome(
+                        "r" + i,
+                        attempt,
+                        to,
+                        to.equals("a") ? AttemptOutcome.MALFORMED_RESPONSE : AttemptOutcome.OK,
+                        75_000);
             }
             rig.after(10_000);
         }
@@ -794,7 +799,7 @@
     void aRequestThatIsNoGoodIsFailedAndTriedNowhereElse() {
         PolicyFixture rig = new PolicyFixture().start().list(A, B);
         for (int i = 0; i < 6; i++) {
-            rig.request("r" + i).outcome("r" + i, 0, rig.sentTo("r" + i, 0), AttemptOutcome.INVALID, 1_000);
+            rig.request("r" + i).outcome("r" + i, 0, rig.sentTo("r" + i, 0), AttemptOutcome.INVALID_REQUEST, 1_000);
             assertNull(rig.sentTo("r" + i, 1));
         }
         assertEquals(6, rig.take("fail").size());
@@ -809,12 +814,12 @@
         PolicyFixture rig = new PolicyFixture().start().list(A);
         rig.request("r");
         for (int i = 0; i < 50; i++) {
-            rig.policy.onList(
+            rig.policy.onEndpointList(
                     rig.now,
                     EndpointListType.DELTA,
                     List.of(
                             PolicyFixture.up("n" + i, "za", 1),
-                            state(i == 0 ? A : PolicyFixture.up("n" + (i - 1), "za", 1), EndpointState.GONE)));
+                            state(i == 0 ? A : PolicyFixture.up("n" + (i - 1), "za", 1), EndpointState.REMOVED)));
         }
         assertEquals(2, rig.policy.servers.size());
         rig.outcome("r", 0, "a", AttemptOutcome.OK, 1_000);
@@ -985,9 +990,9 @@
     @Test
     void damagedPeerMessagesAreIgnored() {
         PolicyFixture rig = new PolicyFixture().start().list(A);
-        rig.policy.onPeer(rig.now, 9, new byte[] {1, 2, 3, 4, 5});
-        rig.policy.onPeer(rig.now, 1, new byte[] {1});
-        rig.policy.onPeer(rig.now, 1, new byte[] {1, 2, 3, 4});
+        rig.policy.onGossip(rig.now, 9, new byte[] {1, 2, 3, 4, 5});
+        rig.policy.onGossip(rig.now, 1, new byte[] {1});
+        rig.policy.onGossip(rig.now, 1, new byte[] {1, 2, 3, 4});
         rig.request("r");
         assertEquals("a", rig.sentTo("r", 0));
     }
@@ -1018,7 +1023,7 @@
     void aFullServerLeavesTheDrawByItsOwnWord() {
         PolicyFixture rig = new PolicyFixture().start().list(A, B).request("r");
         String to = rig.sentTo("r", 0);
-        rig.policy.onOutcome(rig.now, "r", 0, to, AttemptOutcome.OK, 50_000, true, new LoadReport(9, 8, 1));
+        rig.policy.onAttemptOutcome(rig.now, "r", 0, to, AttemptOutcome.OK, 50_000, true, new LoadReport(9, 8, 1));
         for (int i = 0; i < 3; i++) {
             rig.request("n" + i);
             assertNotEquals(to, rig.sentTo("n" + i, 0));
@@ -1031,7 +1036,7 @@
     @Test
     void otherSettingsHoldForWhatComesNextAndOpenRequestsGoOn() {
         PolicyFixture rig = new PolicyFixture();
-        rig.semantics = Idempotency.UNSAFE;
+        rig.semantics = Idempotency.NOT_IDEMPOTENT;
         rig.start().list(A, B).request("old");
         PolicyFixture safe = new PolicyFixture();
         safe.maxAttempts = 2;
@@ -1045,7 +1050,7 @@
         }
         assertEquals(2, rig.take("send new").size(), "safe now, with two attempts");
         assertEquals(1, rig.take("fail new").size());
-        rig.policy.onPeer(rig.now, 29, word(1).bytes());
+        rig.policy.onGossip(rig.now, 29, word(1).bytes());
         rig.after(1_000_000).fire("tell");
         assertTrue(rig.take("tell").stream().allMatch(t -> Integer.parseInt(t.split(" ")[1]) < 30));
     }
@@ -1064,11 +1069,11 @@
         rig.onRequest = true;
         rig.start();
         assertEquals(1, rig.take("subscribe").size());
-        rig.policy.onList(rig.now, EndpointListType.FAILED, List.of());
+        rig.policy.onEndpointList(rig.now, EndpointListType.FAILED, List.of());
         assertEquals(1, rig.take("timer ask").size());
         rig.after(2_000_000).fire("ask");
         assertEquals(2, rig.take("subscribe").size());
-        rig.policy.onList(rig.now, EndpointListType.FULL, List.of(A));
+        rig.policy.onEndpointList(rig.now, EndpointListType.FULL, List.of(A));
         rig.fire("ask");
         assertEquals(2, rig.take("subscribe").size());
     }
@@ -1085,7 +1090,7 @@
             rig.start();
             for (int failures = 0; failures < 30; failures++) {
                 rig.actions.clear();
-                rig.policy.onList(rig.now, EndpointListType.FAILED, List.of());
+                rig.policy.onEndpointList(rig.now, EndpointListType.FAILED, List.of());
                 long pauseUs = Long.parseLong(rig.take("timer ask ").get(0).split(" ")[2]);
                 assertTrue(pauseUs >= 250_000 && pauseUs <= 1_500_000, "asks again after " + pauseUs + " us");
                 rig.after(pauseUs).fire("ask");
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -20,7 +20,7 @@
     LoadBalancerSettings policySettings;
     GossipMessage lastWord;
 
-    Idempotency semantics = Idempotency.SAFE;
+    Idempotency semantics = Idempotency.IDEMPOTENT;
     DeduplicationScope group = DeduplicationScope.ALL;
     long windowUs = 4_000_000;
     long aimUs = 300_000;
@@ -68,7 +68,7 @@
     }
 
     PolicyFixture list(Endpoint... entries) {
-        policy.onList(now, EndpointListType.FULL, List.of(entries));
+        policy.onEndpointList(now, EndpointListType.FULL, List.of(entries));
         return this;
     }
 
@@ -82,7 +82,7 @@
     }
 
     PolicyFixture outcome(String id, int attempt, String upstream, AttemptOutcome outcome, long latencyUs) {
-        policy.onOutcome(now, id, attempt, upstream, outcome, latencyUs, outcome == AttemptOutcome.OK, null);
+        policy.onAttemptOutcome(now, id, attempt, upstream, outcome, latencyUs, outcome == AttemptOutcome.OK, null);
         return this;
     }
 
@@ -108,12 +108,12 @@
     }
 
     @Override
-    public void send(String request, String upstream, long untilUs) {
+    public void sendAttempt(String request, String upstream, long untilUs) {
         actions.add("send " + request + " " + upstream + " " + untilUs);
     }
 
     @Override
-    public void refuse(String request, long retryAfterUs) {
+    public void reject(String request, long retryAfterUs) {
         actions.add("refuse " + request);
     }
 
@@ -123,34 +123,34 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void probe(String upstream) {
+    public void checkHealth(String upstream) {
         actions.add("probe " + upstream);
     }
 
     @Override
-    public void subscribe() {
+    public void pollEndpoints() {
         actions.add("subscribe");
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendGossip(int peer, byte[] message) {
         actions.add("tell " + peer + " " + message.length);
         GossipMessage word = new GossipMessage(1);
         lastWord = word.read(message) ? word : null;
     }
 
     @Override
-    public void close(String upstream) {
+    public void closeIdleConnections(String upstream) {
         actions.add("close " + upstream);
     }
 
     @Override
-    public void timer(String mark, long delayUs) {
+    public void startTimer(String mark, long delayUs) {
         actions.add("timer " + mark + " " + delayUs);
     }
 
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -40,7 +40,7 @@
                 goOn.acquireUninterruptibly();
                 out.fail(r.id());
             } else {
-                out.send(r.id(), "u0", 0);
+                out.sendAttempt(r.id(), "u0", 0);
             }
         };
     }
@@ -114,7 +114,7 @@
             SidecarFixture.OnRequest usual = rig.onRequest;
             rig.onRequest = (now, r, out) -> {
                 if (r.id().startsWith("gone")) {
-                    out.send(r.id(), "late", 0);
+                    out.sendAttempt(r.id(), "late", 0);
                 } else {
                     usual.take(now, r, out);
                 }
@@ -171,9 +171,9 @@
         SidecarFixture.OnRequest usual = rig.onRequest;
         rig.onRequest = (now, r, out) -> {
             if (r.id().startsWith("warm")) {
-                out.send(r.id(), "u1", 0);
+                out.sendAttempt(r.id(), "u1", 0);
             } else if (r.id().startsWith("rest")) {
-                out.timer("rested", 2 * UpstreamConnectionPool.REST_US);
+                out.startTimer("rested", 2 * UpstreamConnectionPool.REST_US);
                 out.fail(r.id());
             } else {
                 usual.take(now, r, out);
@@ -181,7 +181,7 @@
         };
         rig.onOutcome = (id, outcome, done, out) -> {
             if (!done) {
-                out.send(id, "u1", 0);
+                out.sendAttempt(id, "u1", 0);
             }
         };
         rig.start();
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -48,7 +48,7 @@
                                     new Class<?>[] {LoadBalancer.class},
                                     (self, method, arguments) -> {
                                         told.add(method.getName()
-                                                + (method.getName().equals("onOutcome")
+                                                + (method.getName().equals("onAttemptOutcome")
                                                         ? " " + arguments[1] + " " + arguments[4] + " " + arguments[6]
                                                         : ""));
                                         return null;
@@ -121,7 +121,7 @@
                         default -> requests.fail(how);
                     }
                 });
-                await("onOutcome " + how + " NOT_SENT true");
+                await("onAttemptOutcome " + how + " NOT_SENT true");
             }
             assertEquals(0, loop.submit(requests::open).get());
             loop.execute(() -> {
@@ -146,7 +146,7 @@
                 requests.take(x);
                 requests.send("late", "u0", 0);
             });
-            await("onOutcome late ERROR false");
+            await("onAttemptOutcome late ERROR false");
             String story = loop.submit(() -> x.story(x.deadlineUs + 250_000)).get();
             assertTrue(
                     story.matches("late was over 250 ms after its time, \\d+ after it was taken:"
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -17,9 +17,9 @@
     void aRefusalIsSaidAtOnceWithTheTimeToComeBack() throws Exception {
         try (SidecarFixture rig = new SidecarFixture()) {
             rig.onRequest = (now, r, out) -> {
-                out.refuse(r.id(), 165_000);
+                out.reject(r.id(), 165_000);
                 out.fail(r.id());
-                out.refuse(r.id(), 0);
+                out.reject(r.id(), 0);
             };
             rig.start();
             try (StubServer.Client client = rig.client()) {
@@ -52,7 +52,7 @@
     void attemptsAreGivenUpAtTheDeadlineAndTheModuleAnswers() throws Exception {
         try (SidecarFixture rig = new SidecarFixture()) {
             rig.upstream((m, line) -> {});
-            rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 60_000_000);
+            rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", now + 60_000_000);
             rig.start();
             try (StubServer.Client client = rig.client()) {
                 client.send(SidecarFixture.get("a1", 300));
@@ -74,13 +74,13 @@
             try (StubServer.Client client = rig.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
                 assertEquals(502, client.status());
-                rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
+                rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
                 rig.onOutcome = (id, outcome, done, out) -> {
                     throw new IllegalStateException("as the test wants");
                 };
                 client.send(SidecarFixture.get("a2", 20_000));
                 assertEquals(502, client.status());
-                rig.onRequest = (now, r, out) -> out.timer("break", 1);
+                rig.onRequest = (now, r, out) -> out.startTimer("break", 1);
                 client.send(SidecarFixture.get("a3", 20_000));
                 assertEquals(502, client.status());
             }
@@ -132,14 +132,14 @@
                 }
             });
             rig.upstream((m, line) -> line.answer("200 OK", "", "second"));
-            rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
+            rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
             rig.onOutcome = (id, outcome, done, out) -> {};
             rig.start();
             try (StubServer.Client client = rig.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
                 rig.peers.get(0).next();
                 rig.onRequest = (now, r, out) -> {
-                    out.send("a1", "u1", 0);
+                    out.sendAttempt("a1", "u1", 0);
                     out.fail(r.id());
                 };
                 try (StubServer.Client other = rig.client()) {
@@ -166,7 +166,7 @@
                 if (outcome == AttemptOutcome.NOT_SENT) {
                     out.fail(id);
                 } else {
-                    out.send(id, "u0", 0);
+                    out.sendAttempt(id, "u0", 0);
                 }
             };
             rig.start();
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
@@ -45,7 +45,7 @@
                     FAULTS.get(Integer.parseInt(r.id().substring("fault-".length())))
                             .run();
                 }
-                out.send(r.id(), "u0", 0);
+                out.sendAttempt(r.id(), "u0", 0);
             };
             rig.start();
             try (StubServer.Client client = rig.client()) {
@@ -64,7 +64,7 @@
     @Test
     void whatRunsAgainAndAgainIsNotEndedByAFailure() throws Exception {
         try (SidecarFixture rig = new SidecarFixture()) {
-            rig.onRequest = (now, r, out) -> out.timer("break", 1_000);
+            rig.onRequest = (now, r, out) -> out.startTimer("break", 1_000);
             rig.start();
             try (StubServer.Client asking = rig.client();
                     StubServer.Client silent = rig.client()) {
--- a/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
+++ b/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
@@ -28,11 +28,11 @@
             rig.peerFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
             rig.onRequest = (now, r, out) -> {
-                out.tell(1, new byte[5]);
-                out.tell(7, new byte[5]);
-                out.tell(1, new byte[257]);
-                out.tell(1, new byte[256]);
-                out.tell(-1, new byte[7]);
+                out.sendGossip(1, new byte[5]);
+                out.sendGossip(7, new byte[5]);
+                out.sendGossip(1, new byte[257]);
+                out.sendGossip(1, new byte[256]);
+                out.sendGossip(-1, new byte[7]);
                 out.fail(r.id());
             };
             rig.start();
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -56,7 +56,7 @@
                     if (outcome == loadbalancer.decision.AttemptOutcome.NOT_SENT) {
                         out.fail(id);
                     } else if (!done) {
-                        out.send(id, "u0", 0);
+                        out.sendAttempt(id, "u0", 0);
                     }
                 };
                 up.script = (m, line) -> line.answer("500 No", "", "");
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -27,7 +27,7 @@
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.onRequest = (now, r, out) -> {
                 if (!r.id().startsWith("held")) {
-                    out.send(r.id(), "u0", 0);
+                    out.sendAttempt(r.id(), "u0", 0);
                 }
             };
             rig.start();
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -28,7 +28,7 @@
                     LoadBalancer.class.getClassLoader(),
                     new Class<?>[] {LoadBalancer.class},
                     (proxy, method, arguments) -> {
-                        if (method.getName().equals("onOutcome")
+                        if (method.getName().equals("onAttemptOutcome")
                                 && arguments[4] == AttemptOutcome.OK
                                 && served.incrementAndGet() >= 10) {
                             many.countDown();
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -56,7 +56,7 @@
     public final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     public final List<StubServer> peers = new ArrayList<>();
     public final StubServer discovery;
-    public volatile OnRequest onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
+    public volatile OnRequest onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
     public volatile OnOutcome onOutcome = (id, outcome, done, out) -> {
         if (!done) {
             out.fail(id);
@@ -199,13 +199,13 @@
 
     private final class Recorder implements LoadBalancer {
         @Override
-        public void onList(long now, EndpointListType kind, List<Endpoint> entries) {
+        public void onEndpointList(long now, EndpointListType kind, List<Endpoint> entries) {
             told.add("list " + kind + " "
                     + String.join(
                             ",",
                             entries.stream().map(u -> u.id() + "=" + u.state()).toList()));
             if (asks && (kind == EndpointListType.CACHED || kind == EndpointListType.FAILED)) {
-                actions.subscribe();
+                actions.pollEndpoints();
             }
         }
 
@@ -214,17 +214,19 @@
             told.add("settings "
                     + String.join(
                             ",",
-                            settings.classes().stream().map(RequestClass::name).toList()));
+                            settings.requestClasses().stream()
+                                    .map(RequestClass::name)
+                                    .toList()));
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            told.add("request " + request.id() + " " + request.remainingUs());
+            told.add("request " + request.id() + " " + request.remainingMicros());
             onRequest.take(now, request, actions);
         }
 
         @Override
-        public void onOutcome(
+        public void onAttemptOutcome(
                 long now,
                 String request,
                 int attempt,
@@ -242,17 +244,18 @@
         public void onStreamStart(long now, String request, int attempt, String upstream, long latencyUs) {}
 
         @Override
-        public void onProbe(long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report) {
+        public void onHealthCheck(
+                long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report) {
             told.add("probe " + upstream + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
         }
 
         @Override
-        public void onExpired(long now, String request) {
+        public void onRequestExpired(long now, String request) {
             told.add("expired " + request);
         }
 
         @Override
-        public void onPeer(long now, int peer, byte[] message) {
+        public void onGossip(long now, int peer, byte[] message) {
             told.add("peer " + peer + " " + message.length);
         }
 
--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -31,7 +31,7 @@
 
     private static void spoilt(String answer) throws Exception {
         try {
-            outcome("SPOILT false -", 502, (m, line) -> line.raw(answer));
+            outcome("MALFORMED_RESPONSE false -", 502, (m, line) -> line.raw(answer));
         } catch (AssertionError e) {
             throw new AssertionError(
                     "taken for an answer: " + answer.lines().limit(4).toList(), e);
@@ -103,7 +103,7 @@
         }) {
             spoilt(answer);
         }
-        outcome("SPOILT false -", 502, (m, line) -> {
+        outcome("MALFORMED_RESPONSE false -", 502, (m, line) -> {
             line.raw(ok + "\r\nslot");
             line.socket().close();
         });
@@ -136,8 +136,8 @@
     /** A request that an upstream can't use is its client's fault: nothing to hold against the upstream. */
     @Test
     void aRequestFoundToBeNoGoodIsToldApartFromAnError() throws Exception {
-        outcome("INVALID false -", 502, (m, line) -> line.answer("400 Bad Request", "", ""));
-        outcome("INVALID false -", 502, (m, line) -> line.answer("404 Not Found", "", ""));
+        outcome("INVALID_REQUEST false -", 502, (m, line) -> line.answer("400 Bad Request", "", ""));
+        outcome("INVALID_REQUEST false -", 502, (m, line) -> line.answer("404 Not Found", "", ""));
     }
 
     /** Slow is not spoilt: pieces with pauses between them, longer together than any one may stand still. */
@@ -178,7 +178,7 @@
     void aTimeOutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
         try (SidecarFixture rig = new SidecarFixture()) {
             StubServer up = rig.upstream((m, line) -> {});
-            rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 100_000);
+            rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", now + 100_000);
             rig.start();
             try (StubServer.Client client = rig.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
@@ -186,7 +186,7 @@
                 assertEquals(-1, up.accepted.take().getInputStream().read(), "the connection was left open");
                 assertEquals(502, client.status());
                 up.script = (m, line) -> line.answer("200 OK", "", "fresh");
-                rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
+                rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
                 client.send(SidecarFixture.get("a2", 20_000));
                 assertEquals("fresh", client.answer().body());
                 assertNotNull(up.accepted.poll(20, TimeUnit.SECONDS));
@@ -199,8 +199,8 @@
         try (SidecarFixture rig = new SidecarFixture()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {
-                out.send(r.id(), "u0", 0);
-                out.cancel(r.id(), 0);
+                out.sendAttempt(r.id(), "u0", 0);
+                out.cancelAttempt(r.id(), 0);
             };
             rig.start();
             try (StubServer.Client client = rig.client()) {
