--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -30,11 +30,11 @@
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.start();
         long until = System.nanoTime() + 50_000_000;
-        long sum = 0;
+        long iterations = 0;
         while (System.nanoTime() < until) {
-            sum += until % 7;
+            iterations++;
         }
-        assertTrue(sum > 0);
+        assertTrue(iterations > 0);
         String line = monitor.tick(300_000);
         assertTrue(line.matches(".* ms ([^,]+ ran \\d+ ms and waited \\d+ for a processor(, )?)+"), line);
     }
