--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -32,24 +32,24 @@
         if (!changes) {
             return;
         }
-        long now = reads.clock().now();
+        long now = reads.clock().nowMicros();
         if (!accepting) {
             pausedUs = mayHold() ? pausedUs : now;
             resumedUs = 0;
         } else {
             resumedUs = now;
             // Due at once, in the next iteration: behind its reading it is known whether anything waited.
-            reads.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
+            reads.eventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
         }
     }
 
     /** How long a connection that is accepted now has waited at most, in microseconds. */
     long waitedUs() {
-        return mayHold() ? reads.clock().now() - pausedUs : 0;
+        return mayHold() ? reads.clock().nowMicros() - pausedUs : 0;
     }
 
     private boolean mayHold() {
-        if (pausedUs > 0 && resumedUs > 0 && reads.readUs() > resumedUs) {
+        if (pausedUs > 0 && resumedUs > 0 && reads.lastReadMicros() > resumedUs) {
             // A whole reading since then has accepted all that waited.
             pausedUs = 0;
         }
@@ -65,7 +65,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (accepted >= MOST_PER_READING && resumedUs > 0) {
-            resumedUs = reads.clock().now();
+            resumedUs = reads.clock().nowMicros();
         }
         accepted = 0;
         context.fireChannelReadComplete();
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -47,7 +47,7 @@
      * What may be sent ahead of its turn. Clients of the protocol send nothing ahead; who sends more than this gets its
      * answers and an end. Reading never stops: the leaving of a client that is not read goes unnoticed.
      */
-    private static final int MOST_AHEAD_BYTES = 4 * HeaderNames.MAX_BODY;
+    private static final int MOST_AHEAD_BYTES = 4 * HeaderNames.MAX_REQUEST_BODY_BYTES;
     /** What a request takes beside its body. */
     private static final int OVERHEAD_BYTES = 1024;
 
@@ -104,7 +104,7 @@
         this.classes = classes;
         this.server = server;
         this.backlogUs = backlogUs;
-        openedUs = clock.now();
+        openedUs = clock.nowMicros();
         activeUs = openedUs;
     }
 
@@ -118,7 +118,7 @@
                     ReferenceCountUtil.release(message);
                     return;
                 }
-                activeUs = clock.now();
+                activeUs = clock.nowMicros();
                 if (readingSinceUs == 0) {
                     readingSinceUs = activeUs;
                 }
@@ -141,7 +141,7 @@
         boolean there = !asked && activeUs - openedUs < ReadTrackingEventLoop.FRESH_US;
         asked = true;
         // Its time counts from its last byte, which came with this read, or earlier where the loop was late to read.
-        Arrival arrival = new Arrival((FullHttpRequest) message, activeUs - reads.lateUs(), there ? backlogUs : 0);
+        Arrival arrival = new Arrival((FullHttpRequest) message, activeUs - reads.lateMicros(), there ? backlogUs : 0);
         readingSinceUs = 0;
         ahead.add(arrival);
         aheadBytes += arrival.bytes();
@@ -168,7 +168,7 @@
             try {
                 handle(arrival);
             } catch (RuntimeException e) {
-                SidecarLog.trouble("a handler failed", e);
+                SidecarLog.error("a handler failed", e);
                 if (busy) {
                     answer(arrival.message, HttpResponseStatus.INTERNAL_SERVER_ERROR);
                 }
@@ -197,9 +197,9 @@
     private void take(Arrival arrival) {
         FullHttpRequest m = arrival.message;
         HttpHeaders h = m.headers();
-        String id = word(h, HeaderNames.TXN);
-        RequestClass lane = classes.get(word(h, HeaderNames.CLASS));
-        long remainingMs = HeaderValues.whole(word(h, HeaderNames.REMAINING));
+        String id = word(h, HeaderNames.REQUEST_ID);
+        RequestClass lane = classes.get(word(h, HeaderNames.REQUEST_CLASS));
+        long remainingMs = HeaderValues.parseWholeNumber(word(h, HeaderNames.REMAINING_MILLIS));
         if (id.isEmpty() || requests.knows(id) || lane == null || remainingMs <= 0 || !fits(m, lane)) {
             // What no upstream could use is said here: there it would look like the upstream's own failure.
             write(false, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER, 0);
@@ -207,17 +207,17 @@
         }
         // Nobody waits longer than the class allows; believed, a longer time would hold its request for days.
         long remainingUs = Math.min(remainingMs * 1000, lane.deadlineMicros());
-        long marginUs = Math.min(Math.max(MARGIN_US, reads.recentLagUs()), remainingUs / 4);
+        long marginUs = Math.min(Math.max(MARGIN_US, reads.recentLagMicros()), remainingUs / 4);
         // Not known but at most: half of its time is believed all the same.
         long sentUs = arrival.sentUs - Math.min(arrival.waitedUs, remainingUs / 2);
         long deadline = Math.min(server.answerByUs(), sentUs + remainingUs - marginUs);
         Request request = new Request(
                 id,
                 key(h.get(HttpHeaderNames.COOKIE)),
-                "1".equals(h.get(HeaderNames.RESENT)),
+                "1".equals(h.get(HeaderNames.RETRY)),
                 false,
-                Math.max(0, HeaderValues.whole(word(h, HeaderNames.ESTIMATE))),
-                Math.max(1, deadline - clock.now()),
+                Math.max(0, HeaderValues.parseWholeNumber(word(h, HeaderNames.COST_HINT))),
+                Math.max(1, deadline - clock.nowMicros()),
                 h.get(HeaderNames.TENANT),
                 lane.name());
         boolean keepAlive = HttpUtil.isKeepAlive(m);
@@ -251,7 +251,7 @@
     /** The one value of a header; empty where there is none, or where several or odd ones could be read two ways. */
     private static String word(HttpHeaders h, String name) {
         List<String> values = h.getAll(name);
-        return values.size() == 1 && HeaderValues.isWord(values.get(0)) ? values.get(0) : "";
+        return values.size() == 1 && HeaderValues.isToken(values.get(0)) ? values.get(0) : "";
     }
 
     /** The method follows from the class, and so does whether there is a key. */
@@ -265,15 +265,15 @@
         return m.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)
                 && !(safe && m.content().isReadable())
                 && keyFits
-                && HeaderValues.isTarget(m.uri())
+                && HeaderValues.isRequestTarget(m.uri())
                 && m.protocolVersion().majorVersion() == 1;
     }
 
     private static long key(String cookies) {
         if (cookies != null) {
             for (Cookie c : ServerCookieDecoder.LAX.decode(cookies)) {
-                if (c.name().equals(HeaderNames.KEY_COOKIE)) {
-                    return HeaderValues.hexOrHash(c.value()) & (1L << KEY_BITS) - 1;
+                if (c.name().equals(HeaderNames.ROUTING_KEY_COOKIE)) {
+                    return HeaderValues.parseHexOrHash(c.value()) & (1L << KEY_BITS) - 1;
                 }
             }
         }
@@ -293,11 +293,11 @@
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         if (retryAfterUs > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, HeaderValues.seconds(retryAfterUs));
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, HeaderValues.formatSeconds(retryAfterUs));
         }
         current = null;
         busy = false;
-        activeUs = clock.now();
+        activeUs = clock.nowMicros();
         var written = channel.writeAndFlush(response);
         if (stays) {
             spare(true);
@@ -385,7 +385,7 @@
             end(HttpResponseStatus.BAD_REQUEST);
         } else {
             if (!(cause instanceof IOException)) {
-                SidecarLog.trouble("a client's connection failed", cause);
+                SidecarLog.error("a client's connection failed", cause);
             }
             ctx.close();
         }
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -87,11 +87,11 @@
             int maxSpare,
             TrafficStatistics totals) {
         this.reads = reads;
-        loop = reads.loop();
+        loop = reads.eventLoop();
         backlog = new AcceptBacklog(reads);
         clock = reads.clock();
         this.requests = requests;
-        take(classes);
+        updateRequestClasses(classes);
         this.canServe = canServe;
         this.maxConnections = maxConnections;
         this.roomForMore = roomForMore;
@@ -102,14 +102,14 @@
     /**
      * Requests whose first attempt or answer is still to come keep the class, and the deadline, they were taken with.
      */
-    public void take(List<RequestClass> known) {
+    public void updateRequestClasses(List<RequestClass> known) {
         classes.clear();
         known.forEach(c -> classes.put(c.name(), c));
         longestUs = known.stream().mapToLong(RequestClass::deadlineMicros).max().orElse(0);
     }
 
     /** How many connections the application holds. */
-    public int open() {
+    public int openConnections() {
         return connections.size();
     }
 
@@ -140,11 +140,11 @@
     }
 
     /** Not ready from now on. The first request that is taken all the same is told to {@code cut}. */
-    public void notReadyBefore(Runnable cut) {
+    public void holdReadinessForWarmUp(Runnable cut) {
         rehearsal = cut;
     }
 
-    public void rehearsed() {
+    public void warmUpCompleted() {
         rehearsal = null;
     }
 
@@ -170,11 +170,11 @@
     private void accepted(Channel channel) {
         // Not the field: clients that come at once are here before listen() has set it.
         ChannelConfig accepting = channel.parent().config();
-        acceptedUs = clock.now();
+        acceptedUs = clock.nowMicros();
         requests.answerOverdue();
         ClientConnection connection = new ClientConnection(channel, reads, requests, classes, this, backlog.waitedUs());
         connections.add(connection);
-        totals.accepted();
+        totals.clientConnectionAccepted();
         if (connections.size() >= maxConnections) {
             makeRoom(acceptedUs);
         }
@@ -210,8 +210,8 @@
      * Some times a second: who says nothing, or only half of something, or nothing more, holds a descriptor that others
      * need.
      */
-    public void sweep() {
-        long now = clock.now();
+    public void closeStalledConnections() {
+        long now = clock.nowMicros();
         List.copyOf(connections).forEach(c -> c.expire(now));
         if (connections.size() >= maxConnections) {
             makeRoom(now);
@@ -233,20 +233,20 @@
     }
 
     /** Serves on while the application still comes, answers what is held, closes what is quiet, then says so. */
-    public void stop(Runnable stopped) {
-        long now = clock.now();
+    public void shutDownGracefully(Runnable stopped) {
+        long now = clock.nowMicros();
         stopAtUs = now + SERVE_ON_MS * 1000;
         answerByUs = now + KILL_MS * 1000 + Math.min(KILL_MOST_MS * 1000, longestUs);
-        SidecarLog.line("a stop was asked for: " + connections.size() + " clients' connections");
+        SidecarLog.info("a stop was asked for: " + connections.size() + " clients' connections");
         look(stopped);
     }
 
     /** Again and again until all is closed, whatever fails meanwhile: else the process would never end. */
     private void look(Runnable stopped) {
         boolean[] done = new boolean[1];
-        FaultBarrier.passes("a look at what is still open", () -> done[0] = closeWhatIsQuiet());
+        FaultBarrier.run("a look at what is still open", () -> done[0] = closeWhatIsQuiet());
         if (done[0]) {
-            SidecarLog.line("all clients' connections are closed");
+            SidecarLog.info("all clients' connections are closed");
             stopped.run();
         } else {
             loop.schedule(() -> look(stopped), LOOK_MS, TimeUnit.MILLISECONDS);
@@ -255,7 +255,7 @@
 
     /** True once nothing is open any more. */
     private boolean closeWhatIsQuiet() {
-        long now = clock.now();
+        long now = clock.nowMicros();
         if (now >= stopAtUs) {
             // Closing the listener would reset what waits in its backlog: only once none has come for a while, in which
             // it was read. While descriptors are wanting, what waits there is not seen.
@@ -267,7 +267,7 @@
                     && accepting
                     && (now - acceptedUs >= QUIET_MS * 1000 || now >= stopAtUs + LISTEN_ON_MS * 1000)) {
                 listener.close();
-                SidecarLog.line("listens no more: " + connections.size() + " clients' connections");
+                SidecarLog.info("listens no more: " + connections.size() + " clients' connections");
             }
             for (ClientConnection c : Set.copyOf(connections)) {
                 c.closeIfQuiet(now - QUIET_MS * 1000, now - longestUs);
--- a/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -22,7 +22,7 @@
     private final BooleanSupplier nothingOwed;
 
     RequestAggregator(BooleanSupplier nothingOwed) {
-        super(HeaderNames.MAX_BODY);
+        super(HeaderNames.MAX_REQUEST_BODY_BYTES);
         this.nothingOwed = nothingOwed;
     }
 
@@ -47,6 +47,6 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        throw new TooLongFrameException("a body of more than " + HeaderNames.MAX_BODY + " bytes");
+        throw new TooLongFrameException("a body of more than " + HeaderNames.MAX_REQUEST_BODY_BYTES + " bytes");
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -60,7 +60,7 @@
         this.totals = totals;
     }
 
-    public void allow(int attempts) {
+    public void updateMaxAttempts(int attempts) {
         maxAttempts = attempts;
     }
 
@@ -69,18 +69,18 @@
     }
 
     /** How many are held: without their answer, or with an attempt still out. */
-    public int open() {
+    public int openRequests() {
         return open.size();
     }
 
     /** What is owed already goes out before; one whose own time is up is answered at once, and the module not told. */
     void take(RequestExchange x) {
         answerOverdue();
-        x.takenUs = clock.now();
-        totals.taken(x.request.requestClass());
+        x.takenUs = clock.nowMicros();
+        totals.requestAccepted(x.request.requestClass());
         if (x.takenUs >= x.deadlineUs) {
             x.over = true;
-            totals.failed();
+            totals.requestFailed();
             x.answer.failed();
             return;
         }
@@ -89,13 +89,13 @@
         if (unanswered.first() == x) {
             lookAt(x.deadlineUs + OVERDUE_US);
         }
-        decisions.call("a request", m -> m.onRequest(clock.now(), x.request), () -> fail(x));
+        decisions.submit("a request", m -> m.onRequest(clock.nowMicros(), x.request), () -> fail(x));
     }
 
     /** The client has left: nothing is owed any more, and what an upstream already has ends by itself. */
     void left(RequestExchange x) {
         if (!x.over) {
-            totals.left();
+            totals.clientDisconnected();
             finish(x);
             expired(x);
         }
@@ -106,7 +106,7 @@
      * anything else that waits: a short answer may still be in time where one behind a hundred requests is not.
      */
     void answerOverdue() {
-        long now = clock.now();
+        long now = clock.nowMicros();
         while (!unanswered.isEmpty() && unanswered.first().deadlineUs + OVERDUE_US <= now) {
             overdue(unanswered.pollFirst());
         }
@@ -116,12 +116,12 @@
         if (nextLook != null) {
             nextLook.cancel(false);
         }
-        nextLook = loop.schedule(this::look, timeUs - clock.now(), TimeUnit.MICROSECONDS);
+        nextLook = loop.schedule(this::look, timeUs - clock.nowMicros(), TimeUnit.MICROSECONDS);
     }
 
     private void look() {
         nextLook = null;
-        FaultBarrier.passes("an overdue answer", this::answerOverdue);
+        FaultBarrier.run("an overdue answer", this::answerOverdue);
         if (!unanswered.isEmpty()) {
             lookAt(unanswered.first().deadlineUs + OVERDUE_US);
         }
@@ -135,7 +135,7 @@
     }
 
     private void expired(RequestExchange x) {
-        decisions.call("a client that left", m -> m.onRequestExpired(clock.now(), x.request.id()), () -> {});
+        decisions.submit("a client that left", m -> m.onRequestExpired(clock.nowMicros(), x.request.id()), () -> {});
     }
 
     /** After a call that broke off: what the module held may be forgotten, so it is answered now. */
@@ -147,14 +147,14 @@
         }
     }
 
-    public void send(String id, String upstream, long untilUs) {
+    public void sendAttempt(String id, String upstream, long untilUs) {
         RequestExchange x = open.get(id);
         if (x == null) {
             return;
         }
         int number = x.attempts.size();
         long until = untilUs <= 0 ? x.deadlineUs : Math.min(untilUs, x.deadlineUs);
-        boolean moot = x.over || number >= maxAttempts || until <= clock.now();
+        boolean moot = x.over || number >= maxAttempts || until <= clock.nowMicros();
         UpstreamCall call = new UpstreamCall(
                 upstream,
                 until,
@@ -162,21 +162,23 @@
                 left -> message(x, left),
                 (c, outcome, report, body) -> ended(x, number, c, outcome, report, body));
         if (number == 0) {
-            totals.begun(clock.now() - x.takenUs);
+            totals.firstAttemptStarted(clock.nowMicros() - x.takenUs);
         }
         x.attempts.add(call);
         if (moot) {
-            call.sentAt(clock.now());
+            call.sentAt(clock.nowMicros());
             call.end(AttemptOutcome.NOT_SENT, null, null);
         } else {
-            upstreams.start(call);
+            upstreams.startCall(call);
         }
     }
 
     private static FullHttpRequest message(RequestExchange x, long leftUs) {
         FullHttpRequest message =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, x.method, x.uri, Unpooled.wrappedBuffer(x.body));
-        message.headers().set(HeaderNames.TXN, x.request.id()).set(HeaderNames.REMAINING, Math.max(1, leftUs / 1000));
+        message.headers()
+                .set(HeaderNames.REQUEST_ID, x.request.id())
+                .set(HeaderNames.REMAINING_MILLIS, Math.max(1, leftUs / 1000));
         if (x.idempotencyKey != null) {
             message.headers().set(HeaderNames.IDEMPOTENCY_KEY, x.idempotencyKey);
         }
@@ -185,16 +187,16 @@
 
     private void ended(
             RequestExchange x, int number, UpstreamCall call, AttemptOutcome outcome, LoadReport report, ByteBuf body) {
-        call.endedAt(clock.now());
-        totals.outcome(outcome);
+        call.endedAt(clock.nowMicros());
+        totals.attemptCompleted(outcome);
         if (outcome == AttemptOutcome.OK && !x.over) {
-            totals.served(x.request.requestClass());
+            totals.requestServed(x.request.requestClass());
             finish(x);
             x.answer.served(body.retain());
         }
         forgetIfSettled(x);
-        long now = clock.now();
-        decisions.call(
+        long now = clock.nowMicros();
+        decisions.submit(
                 "an outcome",
                 m -> m.onAttemptOutcome(
                         now, x.request.id(), number, call.upstream(), outcome, now - call.sentUs(), x.over, report),
@@ -207,10 +209,10 @@
         }
     }
 
-    public void refuse(String id, long retryAfterUs) {
+    public void reject(String id, long retryAfterUs) {
         RequestExchange x = open.get(id);
         if (x != null && !x.over) {
-            totals.refused(x.request.requestClass());
+            totals.requestRejected(x.request.requestClass());
             finish(x);
             x.answer.refused(retryAfterUs);
         }
@@ -224,13 +226,13 @@
 
     private void fail(RequestExchange x) {
         if (!x.over) {
-            totals.failed();
+            totals.requestFailed();
             finish(x);
             x.answer.failed();
         }
     }
 
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         RequestExchange x = open.get(id);
         if (x != null && attempt >= 0 && attempt < x.attempts.size()) {
             x.attempts.get(attempt).cancel();
@@ -240,10 +242,10 @@
     /** An attempt whose connection is still coming up would be sent on for nobody, as late as that takes. */
     private void finish(RequestExchange x) {
         x.over = true;
-        long now = clock.now();
+        long now = clock.nowMicros();
         // One whose time was up behind others of its connection, sent ahead, was late before it was taken.
         if (now - x.deadlineUs > LATE_US && x.takenUs < x.deadlineUs) {
-            SidecarLog.line(x.story(now));
+            SidecarLog.info(x.story(now));
         }
         unanswered.remove(x);
         x.attempts.forEach(UpstreamCall::withdraw);
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
@@ -34,7 +34,7 @@
         LoadBalancerSettings settings) {
 
     /** The bounds that an operator compares with what a sidecar needs. */
-    public String limits() {
+    public String describeLimits() {
         return sockets + " descriptors, "
                 + settings.requestClasses().stream()
                         .map(c -> c.name() + " wanted within " + c.latencyObjectiveMicros() / 1000 + " ms of "
@@ -63,13 +63,13 @@
     }
 
     /** The same settings for a sidecar on another stage, without peers. */
-    public SidecarConfiguration elsewhere(InetSocketAddress listens, InetSocketAddress asks, EndpointList knows) {
+    public SidecarConfiguration forWarmUp(InetSocketAddress listens, InetSocketAddress asks, EndpointList knows) {
         return new SidecarConfiguration(
                 name, listens, asks, seed, sockets, null, List.of(), null, knows, words, settings);
     }
 
     /** The file as it is now. Where it names another discovery than the variable of the start, the file is newer. */
-    public static SidecarConfiguration readAgain(Map<String, String> environment, LoadBalancerSettings inForce)
+    public static SidecarConfiguration reload(Map<String, String> environment, LoadBalancerSettings inForce)
             throws ConfigurationException {
         Map<String, String> rest = new HashMap<>(environment);
         rest.remove("BALANCER_DISCOVERY");
@@ -106,7 +106,7 @@
 
     private static EndpointList known(JsonObject json) {
         try {
-            return EndpointList.of(json.object("known"));
+            return EndpointList.parse(json.object("known"));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("'known': " + e.getMessage());
         }
@@ -124,7 +124,7 @@
 
     private static InetSocketAddress address(String field, String text) {
         try {
-            return EndpointList.address(text);
+            return EndpointList.parseAddress(text);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("'" + field + "' is no address: '" + text + "'");
         }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -98,23 +98,23 @@
         bootstrap = ClientBootstraps.http(loop, CONNECT_MS, MAX_ANSWER, Handler::new);
     }
 
-    public static ExponentialBackoff backoff() {
+    public static ExponentialBackoff defaultBackoff() {
         return new ExponentialBackoff(
                 AGAIN_US, AGAIN_MOST_US, bound -> ThreadLocalRandom.current().nextLong(bound));
     }
 
     public void start() {
         if (pushed) {
-            subscribe();
+            poll();
         }
     }
 
     /** The list is as new as it can be had: the first call was answered, or nobody is there to answer it. */
-    public boolean heard() {
+    public boolean hasSynced() {
         return !fresh;
     }
 
-    public void subscribe() {
+    public void poll() {
         asked = !pushed;
         goOn();
     }
@@ -125,10 +125,10 @@
      */
     public void moveTo(InetSocketAddress to) {
         if (to.equals(address)) {
-            SidecarLog.line("discovery stays at " + to);
+            SidecarLog.info("discovery stays at " + to);
             return;
         }
-        SidecarLog.line("discovery is now at " + to);
+        SidecarLog.info("discovery is now at " + to);
         address = to;
         doubt = true;
         leave();
@@ -160,7 +160,7 @@
     private void begin() {
         long number = ++calls;
         call = number;
-        begunUs = clock.now();
+        begunUs = clock.nowMicros();
         timeout = loop.schedule(
                 () -> failed(number, "no answer"), patience.ms(waits(), backoff.failures()), TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
@@ -204,22 +204,22 @@
         fresh = false;
         long pauseUs = backoff.failed();
         if (backoff.failures() == 1) {
-            SidecarLog.line("a call to discovery failed: " + why);
+            SidecarLog.info("a call to discovery failed: " + why);
         }
         if (pushed) {
             again(pauseUs);
         } else {
             asked = false;
             // The module asks again, ever later; without a working one nobody would.
-            decisions.call(
+            decisions.submit(
                     "a call to discovery that failed",
-                    m -> m.onEndpointList(clock.now(), EndpointListType.FAILED, List.of()),
+                    m -> m.onEndpointList(clock.nowMicros(), EndpointListType.FAILED, List.of()),
                     () -> again(pauseUs));
         }
     }
 
     private void again(long pauseUs) {
-        loop.schedule(this::subscribe, pauseUs, TimeUnit.MICROSECONDS);
+        loop.schedule(this::poll, pauseUs, TimeUnit.MICROSECONDS);
     }
 
     private void end() {
@@ -234,7 +234,7 @@
                 failed(call, "status " + response.status().code());
                 return;
             }
-            list = EndpointList.of(JsonObject.parse(ByteBufUtil.getBytes(response.content())));
+            list = EndpointList.parse(JsonObject.parse(ByteBufUtil.getBytes(response.content())));
             boolean known = doubt ? list.whole() : list.whole() || list.generation() >= generation;
             if (!known || list.whole() && list.entries().isEmpty()) {
                 throw new IllegalArgumentException("it does not follow on the list before");
@@ -246,7 +246,7 @@
         }
         end();
         if (backoff.failures() > 0) {
-            SidecarLog.line("discovery answers again after " + backoff.failures() + " failed calls");
+            SidecarLog.info("discovery answers again after " + backoff.failures() + " failed calls");
             backoff.succeeded();
         }
         fresh = false;
@@ -255,18 +255,18 @@
         if (!HttpUtil.isKeepAlive(response)) {
             hangUp();
         }
-        upstreams.update(list);
+        upstreams.updateEndpoints(list);
         if (asked || list.whole() || !list.entries().isEmpty()) {
             asked = false;
             List<Endpoint> entries =
                     list.entries().stream().map(EndpointList.Entry::upstream).toList();
-            decisions.call(
+            decisions.submit(
                     "a list",
                     m -> m.onEndpointList(
-                            clock.now(), list.whole() ? EndpointListType.FULL : EndpointListType.DELTA, entries),
+                            clock.nowMicros(), list.whole() ? EndpointListType.FULL : EndpointListType.DELTA, entries),
                     () -> {});
         }
-        long restMs = PACE_MS - (clock.now() - begunUs) / 1000;
+        long restMs = PACE_MS - (clock.nowMicros() - begunUs) / 1000;
         if (restMs <= 0) {
             goOn();
         } else {
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -23,18 +23,18 @@
     /** From now on what the threads do is counted; on the loop, like all that follows. */
     public void start() {
         before = ThreadTimes.read();
-        beforeUs = clock.now();
+        beforeUs = clock.nowMicros();
     }
 
     /** A late loop is told from now on by what the threads do from now on. */
-    public void restart() {
+    public void resetBaseline() {
         before = before.again();
-        beforeUs = clock.now();
+        beforeUs = clock.nowMicros();
     }
 
     /** A piece of work on the loop is done that began then. */
-    public void finished(String work, long sinceUs) {
-        long us = clock.now() - sinceUs;
+    public void taskFinished(String work, long sinceUs) {
+        long us = clock.nowMicros() - sinceUs;
         if (us > longestUs) {
             longestUs = us;
             longest = work;
@@ -44,8 +44,8 @@
     /** With each tick, which came so late: null, or a line on what came since the last where that was late. */
     public String tick(long lagUs) {
         String line = null;
-        if (before != null && lagUs > LATE_US && clock.now() - toldUs > QUIET_US) {
-            toldUs = clock.now();
+        if (before != null && lagUs > LATE_US && clock.nowMicros() - toldUs > QUIET_US) {
+            toldUs = clock.nowMicros();
             ThreadTimes now = before.again();
             line = "the event loop was late by " + lagUs / 1000 + " ms; longest: " + longest + ", " + longestUs / 1000
                     + " ms; in the last " + (toldUs - beforeUs) / 1000 + " ms " + now.since(before);
--- a/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
@@ -11,7 +11,7 @@
     private FaultBarrier() {}
 
     /** Runs {@code work}; false where it failed, which is logged under {@code name}. */
-    public static boolean passes(String name, Runnable work) {
+    public static boolean run(String name, Runnable work) {
         try {
             work.run();
             return true;
@@ -23,7 +23,7 @@
 
     private static void log(String name, Throwable failure) {
         try {
-            SidecarLog.trouble(name + " failed", failure);
+            SidecarLog.error(name + " failed", failure);
         } catch (RuntimeException | Error e) {
             // Without the memory for a line the process goes on all the same.
             return;
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -31,13 +31,13 @@
     }
 
     /** {@code event} names the call in the log; {@code broken} runs where the module could not take it. */
-    public void call(String event, Consumer<LoadBalancer> call, Runnable broken) {
+    public void submit(String event, Consumer<LoadBalancer> call, Runnable broken) {
         calls.add(() -> {
-            long begunUs = clock.now();
-            if (!FaultBarrier.passes("the module", () -> call.accept(module))) {
+            long begunUs = clock.nowMicros();
+            if (!FaultBarrier.run("the module", () -> call.accept(module))) {
                 actions.add(broken);
             }
-            monitor.finished(event, begunUs);
+            monitor.taskFinished(event, begunUs);
         });
         if (!running) {
             run();
@@ -50,9 +50,9 @@
             for (Runnable call; (call = calls.poll()) != null; ) {
                 call.run();
                 for (Runnable action; (action = actions.poll()) != null; ) {
-                    long begunUs = clock.now();
-                    FaultBarrier.passes("an action", action);
-                    monitor.finished("carrying out a decision", begunUs);
+                    long begunUs = clock.nowMicros();
+                    FaultBarrier.run("an action", action);
+                    monitor.taskFinished("carrying out a decision", begunUs);
                 }
             }
         } finally {
--- a/src/main/java/loadbalancer/proxy/eventloop/MonotonicClock.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/MonotonicClock.java
@@ -5,7 +5,7 @@
     private final long unixUs = System.currentTimeMillis() * 1000;
     private final long nanos = System.nanoTime();
 
-    public long now() {
+    public long nowMicros() {
         return unixUs + (System.nanoTime() - nanos) / 1000;
     }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -52,17 +52,17 @@
         return clock;
     }
 
-    public EventLoop loop() {
+    public EventLoop eventLoop() {
         return loop;
     }
 
     /** Ends the thread at once, with all that is open or scheduled on it. */
-    public void end() {
+    public void shutDown() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     /** Runs {@code begin} once what the sockets have by now has been read, on the loop, which alone may call this. */
-    public void onceRead(Runnable begin) {
+    public void afterPendingReads(Runnable begin) {
         begins.add(begin);
         if (!due) {
             due = true;
@@ -72,7 +72,7 @@
     }
 
     private void begin() {
-        if (clock.now() - readUs > FRESH_US && more++ < MOST_MORE) {
+        if (clock.nowMicros() - readUs > FRESH_US && more++ < MOST_MORE) {
             // Due at once, and yet only in the next iteration, behind its reading.
             loop.schedule(this::begin, 1, TimeUnit.NANOSECONDS);
             return;
@@ -80,12 +80,12 @@
         due = false;
         more = 0;
         for (int left = begins.size(); left > 0; left--) {
-            FaultBarrier.passes("the beginning of an attempt", begins.poll());
+            FaultBarrier.run("the beginning of an attempt", begins.poll());
         }
     }
 
     /** When the last whole reading began, in module time: all that had come by then has been handled. */
-    public long readUs() {
+    public long lastReadMicros() {
         return readUs;
     }
 
@@ -93,18 +93,18 @@
      * How long what is read now may have waited in its socket: the time by which the loop is behind its timers. Of a
      * loop that had no processor the sockets themselves tell nothing. Zero where the loop is in time.
      */
-    public long lateUs() {
+    public long lateMicros() {
         long us = wakeNanos == NEVER ? 0 : (loop.ticker().nanoTime() - wakeNanos) / 1000;
         return us < LATE_LEAST_US ? 0 : us;
     }
 
     /** With each tick: by how much it was late. */
-    public void ticked(long lagUs) {
+    public void recordTick(long lagUs) {
         recentLagUs = Math.max(lagUs, recentLagUs - recentLagUs / LAG_FADES_BY);
     }
 
     /** How late the loop was at most of late, fading with the ticks since. */
-    public long recentLagUs() {
+    public long recentLagMicros() {
         return recentLagUs;
     }
 
@@ -132,7 +132,7 @@
 
         @Override
         public int run(IoHandlerContext context) {
-            long begunUs = clock.now();
+            long begunUs = clock.nowMicros();
             wakeNanos = context.deadlineNanos();
             int handled = sockets.run(context);
             readUs = begunUs;
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -34,11 +34,11 @@
             InetSocketAddress all) {
         this.clock = clock;
         this.decisions = decisions;
-        take(peers, all);
+        updatePeers(peers, all);
     }
 
     /** A peer's number is its place in the list that holds now. */
-    public void take(List<InetSocketAddress> addresses, InetSocketAddress ofAll) {
+    public void updatePeers(List<InetSocketAddress> addresses, InetSocketAddress ofAll) {
         peers = addresses;
         all = ofAll;
         numbers.clear();
@@ -58,7 +58,7 @@
     }
 
     /** To one peer, or to all where the number is -1. What can't be sent is lost, as any datagram may be. */
-    public void tell(int peer, byte[] message) {
+    public void send(int peer, byte[] message) {
         InetSocketAddress to = peer == -1 ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
         if (channel != null && to != null && message.length <= MAX_BYTES) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
@@ -73,7 +73,7 @@
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            decisions.call("a peer's word", m -> m.onGossip(clock.now(), number, message), () -> {});
+            decisions.submit("a peer's word", m -> m.onGossip(clock.nowMicros(), number, message), () -> {});
         }
 
         /** The network says of an earlier datagram that nobody was there: no reason to stop listening. */
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -20,12 +20,12 @@
         this.environment = environment;
         if (Signal.handle(new Signal("HUP"), signal -> asked()) == SignalHandler.SIG_IGN) {
             // Java keeps what it was started with, as by nohup: no handler can change that.
-            SidecarLog.line("SIGHUP is ignored by who started this program: no new configuration will be read");
+            SidecarLog.info("SIGHUP is ignored by who started this program: no new configuration will be read");
         }
     }
 
     private synchronized void asked() {
-        SidecarLog.line("asked to read the configuration again");
+        SidecarLog.info("asked to read the configuration again");
         wanted = true;
         go();
     }
@@ -42,9 +42,9 @@
         }
         wanted = false;
         try {
-            sidecar.reconfigure(SidecarConfiguration.readAgain(environment, sidecar.settings()));
+            sidecar.reconfigure(SidecarConfiguration.reload(environment, sidecar.settings()));
         } catch (ConfigurationException e) {
-            SidecarLog.line("goes on as before: " + e.getMessage());
+            SidecarLog.info("goes on as before: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -77,7 +77,7 @@
                 module,
                 new ReadTrackingEventLoop(new MonotonicClock()),
                 WatchTimeouts.USUAL,
-                DiscoveryWatch.backoff());
+                DiscoveryWatch.defaultBackoff());
     }
 
     /** {@code reads} is the loop that owns all of its parts. */
@@ -91,7 +91,7 @@
         this.module = module;
         this.reads = reads;
         clock = reads.clock();
-        loop = reads.loop();
+        loop = reads.eventLoop();
         monitor = new EventLoopMonitor(clock);
         decisions = new LoadBalancerExecutor(clock, monitor);
         LoadBalancerSettings settings = config.settings();
@@ -126,15 +126,15 @@
                 reads,
                 requests,
                 settings.requestClasses(),
-                () -> discovery.heard() && upstreams.anyReady(),
+                () -> discovery.hasSynced() && upstreams.hasReadyEndpoint(),
                 fromClients,
-                () -> openFromClients() + upstreams.open() < most || upstreams.dropOldestIdle(),
+                () -> openFromClients() + upstreams.openConnections() < most || upstreams.closeOldestIdleConnection(),
                 spare,
                 totals);
     }
 
     private int openFromClients() {
-        return clients.open();
+        return clients.openConnections();
     }
 
     /** A quarter of the time within which an answer is wanted leaves enough of it for another attempt. */
@@ -155,9 +155,9 @@
             status = start(environment);
         } catch (RuntimeException | Error e) {
             // Its event loop would go on without ever being ready.
-            SidecarLog.trouble("can't start", e);
+            SidecarLog.error("can't start", e);
         }
-        SidecarLog.drain();
+        SidecarLog.flush();
         return status;
     }
 
@@ -169,10 +169,10 @@
         try {
             config = SidecarConfiguration.read(environment);
         } catch (ConfigurationException e) {
-            SidecarLog.line(e.getMessage());
+            SidecarLog.info(e.getMessage());
             return 2;
         }
-        phases.done("settings");
+        phases.phaseCompleted("settings");
         Module module = (c, now, actions) -> new LoadBalancingPolicy(c.settings(), c.seed(), now, actions);
         Sidecar sidecar = new Sidecar(config, module);
         StartupWarmUp rehearsal = new StartupWarmUp(config, module);
@@ -180,7 +180,7 @@
         try {
             sidecar.start();
         } catch (Exception e) {
-            SidecarLog.line("can't start: " + e);
+            SidecarLog.info("can't start: " + e);
             return 1;
         }
         CountDownLatch empty = new CountDownLatch(1);
@@ -188,32 +188,32 @@
             sidecar.stop(empty::countDown);
             try {
                 empty.await();
-                SidecarLog.drain();
+                SidecarLog.flush();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             // A stop that was asked for and went well is no failure, whatever signal asked.
             Runtime.getRuntime().halt(0);
         }));
-        SidecarLog.line(config.name() + " serves on " + sidecar.listening() + ", " + config.limits());
+        SidecarLog.info(config.name() + " serves on " + sidecar.listening() + ", " + config.describeLimits());
         reload.serving(sidecar);
-        phases.done("sockets and module");
+        phases.phaseCompleted("sockets and module");
         int requests = rehearsal.play();
         sidecar.rehearsed();
-        phases.done("a rehearsal of " + requests + " requests");
+        phases.phaseCompleted("a rehearsal of " + requests + " requests");
         // Where a start takes long, one of these tells by what.
-        SidecarLog.line("ready after this start, in ms: " + phases);
+        SidecarLog.info("ready after this start, in ms: " + phases);
         new CountDownLatch(1).await();
         return 0;
     }
 
     public void start() throws InterruptedException {
-        upstreams.update(config.known());
+        upstreams.updateEndpoints(config.known());
         loop.submit(() -> decisions.start(
                         actions -> {
-                            LoadBalancer made = module.create(config, clock.now(), actions);
+                            LoadBalancer made = module.create(config, clock.nowMicros(), actions);
                             made.onEndpointList(
-                                    clock.now(),
+                                    clock.nowMicros(),
                                     EndpointListType.CACHED,
                                     config.known().entries().stream()
                                             .map(EndpointList.Entry::upstream)
@@ -229,43 +229,44 @@
         listening = clients.listen(config.listen());
         loop.execute(() -> {
             monitor.start();
-            tickAtUs = clock.now();
+            tickAtUs = clock.nowMicros();
             loop.scheduleWithFixedDelay(
-                    () -> FaultBarrier.passes("a tick", this::tick), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+                    () -> FaultBarrier.run("a tick", this::tick), TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         });
     }
 
     private void tick() {
-        long now = clock.now();
+        long now = clock.nowMicros();
         long lagUs = now - tickAtUs - TICK_MS * 1000;
-        totals.lag(lagUs);
-        reads.ticked(lagUs);
+        totals.eventLoopLag(lagUs);
+        reads.recordTick(lagUs);
         String late = monitor.tick(lagUs);
         if (late != null) {
-            SidecarLog.line(late);
+            SidecarLog.info(late);
         }
-        clients.sweep();
-        monitor.finished("the sweep of clients' connections", now);
+        clients.closeStalledConnections();
+        monitor.taskFinished("the sweep of clients' connections", now);
         if (++ticks % TICKS == 0) {
             logTotals();
         }
-        tickAtUs = clock.now();
+        tickAtUs = clock.nowMicros();
     }
 
     private void logTotals() {
-        long begunUs = clock.now();
-        String line = totals.line(requests.open(), clients.open(), upstreams.open());
+        long begunUs = clock.nowMicros();
+        String line = totals.summary(requests.openRequests(), clients.openConnections(), upstreams.openConnections());
         if (line != null) {
-            SidecarLog.line(line);
-            monitor.restart();
+            SidecarLog.info(line);
+            monitor.resetBaseline();
         }
-        monitor.finished("the line of totals", begunUs);
+        monitor.taskFinished("the line of totals", begunUs);
     }
 
     /** How many connections of clients and to upstreams are open or coming up. */
     int connections() throws InterruptedException {
         int[] open = new int[1];
-        loop.submit(() -> open[0] = clients.open() + upstreams.open()).sync();
+        loop.submit(() -> open[0] = clients.openConnections() + upstreams.openConnections())
+                .sync();
         return open[0];
     }
 
@@ -280,12 +281,12 @@
 
     /** Before {@link #start}: it serves, but says that it is ready only once it is {@link #rehearsed}. */
     public void notReadyBefore(Runnable cut) {
-        clients.notReadyBefore(cut);
+        clients.holdReadinessForWarmUp(cut);
     }
 
     /** Returns once it says so: a caller may believe it then. */
     void rehearsed() throws InterruptedException {
-        loop.submit(clients::rehearsed).sync();
+        loop.submit(clients::warmUpCompleted).sync();
     }
 
     /**
@@ -299,45 +300,45 @@
             if (!fresh.words().equals(config.words()) || !fresh.peers().equals(config.peers())) {
                 config = fresh;
                 take(fresh);
-                SidecarLog.line("new settings are in force: " + fresh.limits());
+                SidecarLog.info("new settings are in force: " + fresh.describeLimits());
             }
         });
     }
 
     private void take(SidecarConfiguration fresh) {
         LoadBalancerSettings settings = fresh.settings();
-        peers.take(fresh.peers(), fresh.peersAll());
+        peers.updatePeers(fresh.peers(), fresh.peersAll());
         // The module first: no request of a new class may come to one that does not know it.
-        decisions.call("new settings", m -> m.onSettings(clock.now(), settings), () -> {});
-        requests.allow(settings.limits().maxAttempts());
-        upstreams.allow(
+        decisions.submit("new settings", m -> m.onSettings(clock.nowMicros(), settings), () -> {});
+        requests.updateMaxAttempts(settings.limits().maxAttempts());
+        upstreams.updateTimeouts(
                 settings.limits().connectionIdleTimeoutMicros(),
                 settings.limits().connectTimeoutMicros(),
                 stallUs(settings));
-        clients.take(settings.requestClasses());
+        clients.updateRequestClasses(settings.requestClasses());
     }
 
     /** {@code stopped} runs when all that was taken has been answered and all connections are closed. */
     void stop(Runnable stopped) {
-        loop.execute(() -> clients.stop(stopped));
+        loop.execute(() -> clients.shutDownGracefully(stopped));
     }
 
     /** Ends at once, whatever is held. */
     public void end() {
         loop.execute(discovery::stop);
-        reads.end();
+        reads.shutDown();
     }
 
     /** Carries out what the module decides. */
     private final class DecisionExecutor implements LoadBalancerActions {
         @Override
         public void sendAttempt(String request, String upstream, long untilUs) {
-            requests.send(request, upstream, untilUs);
+            requests.sendAttempt(request, upstream, untilUs);
         }
 
         @Override
         public void reject(String request, long retryAfterUs) {
-            requests.refuse(request, retryAfterUs);
+            requests.reject(request, retryAfterUs);
         }
 
         @Override
@@ -347,19 +348,20 @@
 
         @Override
         public void cancelAttempt(String request, int attempt) {
-            requests.cancel(request, attempt);
+            requests.cancelAttempt(request, attempt);
         }
 
         @Override
         public void checkHealth(String upstream) {
-            upstreams.start(new UpstreamCall(
+            upstreams.startCall(new UpstreamCall(
                     upstream,
-                    clock.now() + PROBE_US,
+                    clock.nowMicros() + PROBE_US,
                     true,
                     left -> probe(),
-                    (call, outcome, report, body) -> decisions.call(
+                    (call, outcome, report, body) -> decisions.submit(
                             "a probe",
-                            m -> m.onHealthCheck(clock.now(), upstream, outcome, clock.now() - call.sentUs(), report),
+                            m -> m.onHealthCheck(
+                                    clock.nowMicros(), upstream, outcome, clock.nowMicros() - call.sentUs(), report),
                             () -> {})));
         }
 
@@ -369,30 +371,30 @@
 
         @Override
         public void pollEndpoints() {
-            discovery.subscribe();
+            discovery.poll();
         }
 
         @Override
         public void sendGossip(int peer, byte[] message) {
-            peers.tell(peer, message);
+            peers.send(peer, message);
         }
 
         @Override
         public void closeIdleConnections(String upstream) {
-            upstreams.close(upstream);
+            upstreams.closeIdleConnections(upstream);
         }
 
         @Override
         public void startTimer(String mark, long delayUs) {
             loop.schedule(
-                    () -> decisions.call("a timer", m -> m.onTimer(clock.now(), mark), requests::failHeld),
+                    () -> decisions.submit("a timer", m -> m.onTimer(clock.nowMicros(), mark), requests::failHeld),
                     delayUs,
                     TimeUnit.MICROSECONDS);
         }
 
         @Override
         public void log(String text) {
-            SidecarLog.line(text);
+            SidecarLog.info(text);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -80,7 +80,7 @@
     int play() {
         ReadTrackingEventLoop reads = new ReadTrackingEventLoop(new MonotonicClock());
         try {
-            EventLoop loop = reads.loop();
+            EventLoop loop = reads.eventLoop();
             InetSocketAddress here = new InetSocketAddress(config.listen().getAddress(), 0);
             InetSocketAddress stage = (InetSocketAddress) new ServerBootstrap()
                     .group(loop)
@@ -91,7 +91,7 @@
                             channel.pipeline()
                                     .addLast(
                                             new HttpServerCodec(),
-                                            new HttpObjectAggregator(HeaderNames.MAX_BODY),
+                                            new HttpObjectAggregator(HeaderNames.MAX_REQUEST_BODY_BYTES),
                                             new Stage());
                         }
                     })
@@ -100,21 +100,21 @@
                     .channel()
                     .localAddress();
             Sidecar second = new Sidecar(
-                    config.elsewhere(here, stage, list(stage)),
+                    config.forWarmUp(here, stage, list(stage)),
                     module,
                     reads,
                     WatchTimeouts.USUAL,
-                    DiscoveryWatch.backoff());
+                    DiscoveryWatch.defaultBackoff());
             second.start();
-            Bootstrap clients = ClientBootstraps.http(loop, 1_000, HeaderNames.MAX_BODY, Client::new);
+            Bootstrap clients = ClientBootstraps.http(loop, 1_000, HeaderNames.MAX_REQUEST_BODY_BYTES, Client::new);
             for (int i = 0; i < CLIENTS; i++) {
                 clients.connect(second.listening());
             }
             over.await(LONGEST_MS, TimeUnit.MILLISECONDS);
         } catch (Exception | Error e) {
-            SidecarLog.trouble("no rehearsal", e);
+            SidecarLog.error("no rehearsal", e);
         } finally {
-            reads.end();
+            reads.shutDown();
         }
         return answered;
     }
@@ -144,7 +144,7 @@
                     Unpooled.copiedBuffer(load, StandardCharsets.US_ASCII));
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, load.length())
-                    .set(HeaderNames.LOAD, load);
+                    .set(HeaderNames.LOAD_REPORT, load);
             ctx.writeAndFlush(response);
         }
 
@@ -178,10 +178,10 @@
                     "/api");
             request.headers()
                     .set(HttpHeaderNames.HOST, "api.internal")
-                    .set(HeaderNames.TXN, "rehearsal-" + begun)
-                    .set(HeaderNames.CLASS, c.name())
-                    .set(HeaderNames.REMAINING, Math.max(1, c.deadlineMicros() / 1000))
-                    .set(HttpHeaderNames.COOKIE, HeaderNames.KEY_COOKIE + "=" + begun)
+                    .set(HeaderNames.REQUEST_ID, "rehearsal-" + begun)
+                    .set(HeaderNames.REQUEST_CLASS, c.name())
+                    .set(HeaderNames.REMAINING_MILLIS, Math.max(1, c.deadlineMicros() / 1000))
+                    .set(HttpHeaderNames.COOKIE, HeaderNames.ROUTING_KEY_COOKIE + "=" + begun)
                     .set(HttpHeaderNames.CONTENT_LENGTH, 0);
             if (c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
                 request.headers().set(HeaderNames.IDEMPOTENCY_KEY, "rehearsal-" + begun);
--- a/src/main/java/loadbalancer/proxy/observability/NettyLoggerFactory.java
+++ b/src/main/java/loadbalancer/proxy/observability/NettyLoggerFactory.java
@@ -30,9 +30,9 @@
 
         private void line(String text, Throwable cause) {
             if (cause == null) {
-                SidecarLog.line(name() + ": " + text);
+                SidecarLog.info(name() + ": " + text);
             } else {
-                SidecarLog.trouble(name() + ": " + text, cause);
+                SidecarLog.error(name() + ": " + text, cause);
             }
         }
 
--- a/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
+++ b/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
@@ -24,7 +24,7 @@
 
     private SidecarLog() {}
 
-    public static void line(String text) {
+    public static void info(String text) {
         synchronized (LOCK) {
             if (WAITING.size() >= MOST_WAITING) {
                 dropped++;
@@ -36,17 +36,17 @@
     }
 
     /** A fault of this program: with the lines at which it arose. */
-    public static void trouble(String what, Throwable e) {
+    public static void error(String what, Throwable e) {
         StringBuilder text = new StringBuilder(what).append(": ").append(e);
         StackTraceElement[] trace = e.getStackTrace();
         for (int i = 0; i < Math.min(4, trace.length); i++) {
             text.append(" at ").append(trace[i]);
         }
-        line(text.toString());
+        info(text.toString());
     }
 
     /** Before the process ends: waits until all lines are out, not for ever where nobody reads them. */
-    public static void drain() throws InterruptedException {
+    public static void flush() throws InterruptedException {
         long until = System.nanoTime() + MOST_DRAIN_MS * 1_000_000;
         synchronized (LOCK) {
             for (long leftMs = MOST_DRAIN_MS; leftMs > 0 && (writing || !WAITING.isEmpty()); ) {
--- a/src/main/java/loadbalancer/proxy/observability/StartupTimer.java
+++ b/src/main/java/loadbalancer/proxy/observability/StartupTimer.java
@@ -21,7 +21,7 @@
         phases.append("the Java machine used ").append(usedMs).append(" ms");
     }
 
-    public void done(String phase) {
+    public void phaseCompleted(String phase) {
         long now = System.nanoTime();
         long used = processorMs();
         phases.append(", ")
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -31,55 +31,55 @@
         return classes.computeIfAbsent(requestClass, c -> new Counts());
     }
 
-    public void taken(String requestClass) {
+    public void requestAccepted(String requestClass) {
         of(requestClass).taken++;
     }
 
-    public void served(String requestClass) {
+    public void requestServed(String requestClass) {
         of(requestClass).served++;
     }
 
-    public void refused(String requestClass) {
+    public void requestRejected(String requestClass) {
         of(requestClass).refused++;
     }
 
-    public void failed() {
+    public void requestFailed() {
         failed++;
     }
 
     /** The client went away before its answer. */
-    public void left() {
+    public void clientDisconnected() {
         left++;
     }
 
     /** A request's first attempt, so long after the request was taken. */
-    public void begun(long afterUs) {
+    public void firstAttemptStarted(long afterUs) {
         begun++;
         heldUs += afterUs;
         worstHeldUs = Math.max(worstHeldUs, afterUs);
     }
 
-    public void outcome(AttemptOutcome outcome) {
+    public void attemptCompleted(AttemptOutcome outcome) {
         outcomes.merge(outcome, 1, Integer::sum);
     }
 
     /** A connection of the application. */
-    public void accepted() {
+    public void clientConnectionAccepted() {
         accepted++;
     }
 
     /** A connection to an upstream was begun. */
-    public void dialled() {
+    public void upstreamConnectionOpened() {
         dialled++;
     }
 
     /** What makes the event loop late makes every answer late: too little of the core, a pause, or a fault here. */
-    public void lag(long us) {
+    public void eventLoopLag(long us) {
         worstLagUs = Math.max(worstLagUs, us);
     }
 
     /** All of it in one line, and from the start again; null where nothing happened. */
-    public String line(int open, int clients, int upstreams) {
+    public String summary(int open, int clients, int upstreams) {
         if (classes.isEmpty() && accepted + dialled + open == 0) {
             worstLagUs = 0;
             return null;
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -14,7 +14,7 @@
     public record Entry(Endpoint upstream, InetSocketAddress address) {}
 
     /** Module time runs on from Unix time, so a start needs no more than its unit changed. */
-    public static EndpointList of(JsonObject json) {
+    public static EndpointList parse(JsonObject json) {
         List<Entry> entries = new ArrayList<>();
         for (JsonObject e : json.objects("instances")) {
             EndpointState state =
@@ -34,13 +34,13 @@
                             e.numberOr("startedAtMs", 0) * 1000,
                             e.realOr("weight", 1),
                             state),
-                    address(e.text("hostPort"))));
+                    parseAddress(e.text("hostPort"))));
         }
         return new EndpointList(json.number("generation"), json.flag("reset"), entries);
     }
 
     /** An address in numbers: there is no DNS, and nothing here may block on a look-up. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (host == null) {
--- a/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
+++ b/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
@@ -13,12 +13,12 @@
     private HeaderValues() {}
 
     /** One to 128 visible ASCII characters. */
-    public static boolean isWord(String text) {
+    public static boolean isToken(String text) {
         return !text.isEmpty() && text.length() <= MOST_WORD && visible(text);
     }
 
     /** A path that begins with a slash, of visible ASCII characters, 4,096 at most. */
-    public static boolean isTarget(String text) {
+    public static boolean isRequestTarget(String text) {
         return text.startsWith("/") && text.length() <= MOST_TARGET && visible(text);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** A whole number of one to nine digits; -1 where there is none. */
-    public static long whole(String text) {
+    public static long parseWholeNumber(String text) {
         if (text.isEmpty() || text.length() > MOST_DIGITS) {
             return -1;
         }
@@ -49,7 +49,7 @@
     }
 
     /** One to sixteen hexadecimal digits as their number, any other text as its hash. */
-    public static long hexOrHash(String text) {
+    public static long parseHexOrHash(String text) {
         if (text.isEmpty() || text.length() > MOST_HEX_DIGITS) {
             return text.hashCode();
         }
@@ -69,7 +69,7 @@
     }
 
     /** Seconds with three decimals, as {@code Retry-After} is written here. */
-    public static String seconds(long us) {
+    public static String formatSeconds(long us) {
         long ms = (us + 500) / 1000;
         String decimals = Long.toString(1000 + ms % 1000).substring(1);
         return ms / 1000 + "." + decimals;
--- a/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
+++ b/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
@@ -12,7 +12,7 @@
     private LoadReportParser() {}
 
     /** Null where the text is no such report: a malformed one says nothing of its upstream. */
-    public static LoadReport read(String text) {
+    public static LoadReport parse(String text) {
         if (text == null || !text.startsWith(FORM)) {
             return null;
         }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -29,7 +29,7 @@
     static final AttributeKey<UpstreamConnection> KEY = AttributeKey.valueOf(UpstreamConnection.class, "connection");
 
     private final ResponseDecoder decoder = new ResponseDecoder();
-    private final ResponseAggregator answers = new ResponseAggregator(HeaderNames.MAX_ANSWER);
+    private final ResponseAggregator answers = new ResponseAggregator(HeaderNames.MAX_RESPONSE_BODY_BYTES);
     long idleSinceUs;
     private UpstreamCall call;
     private BiConsumer<UpstreamCall, Channel> release;
@@ -141,10 +141,10 @@
 
     private static void tell(UpstreamCall current, FullHttpResponse response) {
         AttemptOutcome outcome = outcome(response);
-        LoadReport report = LoadReportParser.read(
+        LoadReport report = LoadReportParser.parse(
                 current.reportInBody()
                         ? response.content().toString(StandardCharsets.UTF_8)
-                        : response.headers().get(HeaderNames.LOAD));
+                        : response.headers().get(HeaderNames.LOAD_REPORT));
         if (current.reportInBody() && outcome == AttemptOutcome.OK && report == null) {
             // A probe whose report can't be read tells neither of load nor of a server without reports.
             outcome = AttemptOutcome.MALFORMED_RESPONSE;
@@ -162,7 +162,7 @@
         int code = response.status().code();
         return switch (code) {
             case 200 -> AttemptOutcome.OK;
-            case 503, 504 -> "1".equals(headers.get(HeaderNames.TURNED_AWAY))
+            case 503, 504 -> "1".equals(headers.get(HeaderNames.REJECTED))
                     ? AttemptOutcome.REJECTED
                     : AttemptOutcome.ERROR;
                 // What the client sent was no good: that is not the upstream's fault, and no other would like it
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -78,29 +78,29 @@
             IntSupplier maxConnections,
             TrafficStatistics totals) {
         this.reads = reads;
-        loop = reads.loop();
+        loop = reads.eventLoop();
         clock = reads.clock();
         this.maxConnections = maxConnections;
         this.totals = totals;
         this.restUs = restUs;
         bootstrap = ClientBootstraps.tcp(loop, 1, channel -> UpstreamConnection.on(channel, this.stallUs));
-        allow(connIdleUs, dialTimeoutUs, stallUs);
+        updateTimeouts(connIdleUs, dialTimeoutUs, stallUs);
         loop.scheduleWithFixedDelay(
-                () -> FaultBarrier.passes("the sweep of idle connections", this::dropIdle),
+                () -> FaultBarrier.run("the sweep of idle connections", this::dropIdle),
                 SWEEP_MS,
                 SWEEP_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     /** For connections from now on, but the idle time, which ends those too that are idle now. */
-    public void allow(long connIdleUs, long dialTimeoutUs, long stalledUs) {
+    public void updateTimeouts(long connIdleUs, long dialTimeoutUs, long stalledUs) {
         idleUs = Math.max(connIdleUs / 2, connIdleUs - IDLE_MARGIN_US);
         stallUs = stalledUs;
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1000));
     }
 
     /** Connections to what drained, went or is now another process are of no more use. */
-    public void update(EndpointList list) {
+    public void updateEndpoints(EndpointList list) {
         Set<String> named = new HashSet<>();
         for (EndpointList.Entry e : list.entries()) {
             String id = e.upstream().id();
@@ -113,7 +113,7 @@
             }
             t.state = e.upstream().state();
             if (t.state != EndpointState.READY) {
-                close(t);
+                closeIdleConnections(t);
             }
             if (t.state == EndpointState.REMOVED) {
                 // Its successors come under new ids: kept, the map would grow with each of them.
@@ -132,41 +132,41 @@
     }
 
     /** How many upstreams are kept. */
-    int known() {
+    int endpointCount() {
         return targets.size();
     }
 
     /** How many connections are open or coming up. */
-    public int open() {
+    public int openConnections() {
         return connections;
     }
 
-    public boolean anyReady() {
+    public boolean hasReadyEndpoint() {
         return targets.values().stream().anyMatch(t -> t.state == EndpointState.READY);
     }
 
     private void forget(Target t) {
         if (t != null) {
             t.state = EndpointState.REMOVED;
-            close(t);
+            closeIdleConnections(t);
         }
     }
 
-    private void close(Target t) {
+    private void closeIdleConnections(Target t) {
         for (Channel c; (c = t.idle.poll()) != null; ) {
             c.close();
         }
     }
 
-    public void close(String upstream) {
+    public void closeIdleConnections(String upstream) {
         Target t = targets.get(upstream);
         if (t != null) {
-            close(t);
+            closeIdleConnections(t);
         }
     }
 
-    public void start(UpstreamCall call) {
-        long now = clock.now();
+    public void startCall(UpstreamCall call) {
+        long now = clock.nowMicros();
         call.sentAt(now);
         call.target = targets.get(call.upstream());
         if (call.target == null || call.target.state != EndpointState.READY) {
@@ -174,13 +174,13 @@
             return;
         }
         call.timeout = loop.schedule(call::timedOut, call.untilUs - now, TimeUnit.MICROSECONDS);
-        reads.onceRead(() -> begin(call));
+        reads.afterPendingReads(() -> begin(call));
     }
 
     /** Unless it was withdrawn, or its upstream changed, while what else had come was read. */
     private void begin(UpstreamCall call) {
         if (mayBegin(call)) {
-            Channel channel = takeIdle(call.target, clock.now());
+            Channel channel = takeIdle(call.target, clock.nowMicros());
             if (channel != null) {
                 call.channel = channel;
                 write(call);
@@ -193,7 +193,7 @@
     /** False where it is over, or ends here: the list changed or time ran out, and nothing may be sent any more. */
     private boolean mayBegin(UpstreamCall call) {
         boolean ready = call.target.state == EndpointState.READY;
-        if (!call.ended() && (!ready || clock.now() >= call.untilUs)) {
+        if (!call.ended() && (!ready || clock.nowMicros() >= call.untilUs)) {
             call.abandon(ready ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT);
         }
         return !call.ended();
@@ -204,7 +204,7 @@
         for (Iterator<Channel> i = t.idle.iterator(); i.hasNext(); ) {
             Channel c = i.next();
             boolean usable = usable(c, now);
-            if (usable && !connection(c).rested(reads.readUs())) {
+            if (usable && !connection(c).rested(reads.lastReadMicros())) {
                 continue;
             }
             i.remove();
@@ -226,12 +226,12 @@
     }
 
     private void connect(UpstreamCall call) {
-        if (connections >= maxConnections.getAsInt() && !dropOldestIdle()) {
+        if (connections >= maxConnections.getAsInt() && !closeOldestIdleConnection()) {
             call.end(AttemptOutcome.NOT_SENT, null, null);
             return;
         }
         connections++;
-        totals.dialled();
+        totals.upstreamConnectionOpened();
         ChannelFuture connecting = bootstrap.connect(call.target.address);
         call.channel = connecting.channel();
         connecting.addListener(f -> {
@@ -246,7 +246,7 @@
             } else if (!f.isSuccess()) {
                 call.broke();
             } else {
-                reads.onceRead(() -> {
+                reads.afterPendingReads(() -> {
                     if (mayBegin(call)) {
                         write(call);
                     }
@@ -256,7 +256,7 @@
     }
 
     /** False where every connection is in use. */
-    public boolean dropOldestIdle() {
+    public boolean closeOldestIdleConnection() {
         Target oldest = null;
         for (Target t : targets.values()) {
             if (!t.idle.isEmpty()
@@ -273,7 +273,7 @@
     }
 
     private void write(UpstreamCall call) {
-        FullHttpRequest message = call.message.apply(call.untilUs - clock.now());
+        FullHttpRequest message = call.message.apply(call.untilUs - clock.nowMicros());
         message.headers()
                 .set("Host", "api.internal")
                 .set("Content-Length", message.content().readableBytes());
@@ -296,8 +296,8 @@
 
     private void release(UpstreamCall call, Channel channel) {
         if (call.target.state == EndpointState.READY && call.written) {
-            connection(channel).idleSinceUs = clock.now();
-            connection(channel).restUntil(restUs > 0 ? clock.now() + restUs : 0);
+            connection(channel).idleSinceUs = clock.nowMicros();
+            connection(channel).restUntil(restUs > 0 ? clock.nowMicros() + restUs : 0);
             call.target.idle.addFirst(channel);
         } else {
             channel.close();
@@ -305,7 +305,7 @@
     }
 
     private void dropIdle() {
-        long now = clock.now();
+        long now = clock.nowMicros();
         for (Target t : targets.values()) {
             t.idle.removeIf(c -> {
                 boolean drop = !usable(c, now);
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -33,7 +33,7 @@
 class RequestDispatcherTest {
     private final MonotonicClock clock = new MonotonicClock();
     private final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(clock);
-    private final EventLoop loop = reads.loop();
+    private final EventLoop loop = reads.eventLoop();
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private RequestDispatcher requests;
     private UpstreamConnectionPool upstreams;
@@ -63,7 +63,7 @@
 
     @AfterEach
     void end() {
-        reads.end();
+        reads.shutDown();
     }
 
     private RequestExchange exchange(String id) {
@@ -73,7 +73,7 @@
                 "/api",
                 null,
                 new byte[0],
-                clock.now() + 20_000_000,
+                clock.nowMicros() + 20_000_000,
                 new RequestExchange.Answer() {
                     @Override
                     public void served(ByteBuf body) {
@@ -106,7 +106,7 @@
     @Test
     void whatWaitsForItsConnectionWhenItsRequestIsOverIsNeverSent() throws Exception {
         try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", m.header("X-Txn")))) {
-            loop.submit(() -> upstreams.update(EndpointList.of(JsonObject.parse(
+            loop.submit(() -> upstreams.updateEndpoints(EndpointList.parse(JsonObject.parse(
                             SidecarFixture.list(1, true, SidecarFixture.entry("u0", up.address(), "Ready", 0))
                                     .getBytes(StandardCharsets.UTF_8)))))
                     .sync();
@@ -114,19 +114,19 @@
                 loop.execute(() -> {
                     RequestExchange x = exchange(how);
                     requests.take(x);
-                    requests.send(how, "u0", 0);
+                    requests.sendAttempt(how, "u0", 0);
                     switch (how) {
                         case "left" -> requests.left(x);
-                        case "refused" -> requests.refuse(how, 0);
+                        case "refused" -> requests.reject(how, 0);
                         default -> requests.fail(how);
                     }
                 });
                 await("onAttemptOutcome " + how + " NOT_SENT true");
             }
-            assertEquals(0, loop.submit(requests::open).get());
+            assertEquals(0, loop.submit(requests::openRequests).get());
             loop.execute(() -> {
                 requests.take(exchange("next"));
-                requests.send("next", "u0", 0);
+                requests.sendAttempt("next", "u0", 0);
             });
             await("served next next");
             assertEquals(1, up.messages.size(), "a request was sent on for nobody");
@@ -137,14 +137,14 @@
     @Test
     void whatIsAnsweredLongAfterItsTimeTellsItsSteps() throws Exception {
         try (StubServer up = new StubServer((m, line) -> line.answer("500 No", "", ""))) {
-            loop.submit(() -> upstreams.update(EndpointList.of(JsonObject.parse(
+            loop.submit(() -> upstreams.updateEndpoints(EndpointList.parse(JsonObject.parse(
                             SidecarFixture.list(1, true, SidecarFixture.entry("u0", up.address(), "Ready", 0))
                                     .getBytes(StandardCharsets.UTF_8)))))
                     .sync();
             RequestExchange x = exchange("late");
             loop.execute(() -> {
                 requests.take(x);
-                requests.send("late", "u0", 0);
+                requests.sendAttempt("late", "u0", 0);
             });
             await("onAttemptOutcome late ERROR false");
             String story = loop.submit(() -> x.story(x.deadlineUs + 250_000)).get();
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -11,13 +11,13 @@
     void aLateTickTellsWhatCameSinceTheOneBefore() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
-        monitor.finished("before the start", clock.now() - 900_000);
+        monitor.taskFinished("before the start", clock.nowMicros() - 900_000);
         assertNull(monitor.tick(300_000));
         monitor.start();
-        monitor.finished("short", clock.now() - 2_000);
+        monitor.taskFinished("short", clock.nowMicros() - 2_000);
         assertNull(monitor.tick(100_000));
-        monitor.finished("long", clock.now() - 500_000);
-        monitor.finished("short", clock.now() - 2_000);
+        monitor.taskFinished("long", clock.nowMicros() - 500_000);
+        monitor.taskFinished("short", clock.nowMicros() - 2_000);
         String line = monitor.tick(300_000);
         assertTrue(line.startsWith("the event loop was late by 300 ms; longest: long, 5"), line);
         assertNull(monitor.tick(300_000));
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -41,7 +41,7 @@
                 rig.await("request held-2");
                 CountDownLatch standing = new CountDownLatch(1);
                 CountDownLatch goOn = new CountDownLatch(1);
-                rig.reads.loop().execute(() -> {
+                rig.reads.eventLoop().execute(() -> {
                     standing.countDown();
                     awaitUninterruptibly(goOn);
                 });
@@ -76,7 +76,10 @@
             try (StubServer.Client client = rig.client()) {
                 client.send(SidecarFixture.get("before", LONG_MS));
                 assertTrue(leftUs(rig.await("request before")) > (LONG_MS - 100) * 1000);
-                rig.reads.loop().submit(() -> rig.reads.ticked(1_000_000)).sync();
+                rig.reads
+                        .eventLoop()
+                        .submit(() -> rig.reads.recordTick(1_000_000))
+                        .sync();
             }
             try (StubServer.Client client = rig.client()) {
                 client.send(SidecarFixture.get("after", LONG_MS));
--- a/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
@@ -46,15 +46,15 @@
         Stuck pipe = new Stuck();
         System.setErr(new PrintStream(pipe, true));
         try {
-            SidecarLog.line(MARK + "first");
+            SidecarLog.info(MARK + "first");
             assertTrue(pipe.reached.await(20, TimeUnit.SECONDS));
             int most = 2 * SidecarLog.MOST_WAITING;
             for (int i = 0; i < most; i++) {
-                SidecarLog.line(MARK + i);
+                SidecarLog.info(MARK + i);
             }
             assertEquals(0, pipe.marked().size());
             pipe.released.countDown();
-            SidecarLog.drain();
+            SidecarLog.flush();
             String told = pipe.toString(StandardCharsets.UTF_8)
                     .lines()
                     .filter(l -> l.contains(" lines were dropped"))
--- a/src/test/java/loadbalancer/proxy/protocol/HeaderValuesTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/HeaderValuesTest.java
@@ -34,28 +34,29 @@
     }
 
     private static void check(String text) {
-        assertEquals(WORD.matcher(text).matches(), HeaderValues.isWord(text), text);
-        assertEquals(TARGET.matcher(text).matches(), HeaderValues.isTarget(text), text);
-        assertEquals(WHOLE.matcher(text).matches() ? Long.parseLong(text) : -1, HeaderValues.whole(text), text);
+        assertEquals(WORD.matcher(text).matches(), HeaderValues.isToken(text), text);
+        assertEquals(TARGET.matcher(text).matches(), HeaderValues.isRequestTarget(text), text);
+        assertEquals(
+                WHOLE.matcher(text).matches() ? Long.parseLong(text) : -1, HeaderValues.parseWholeNumber(text), text);
         assertEquals(
                 HEX.matcher(text).matches() ? Long.parseUnsignedLong(text, 16) : text.hashCode(),
-                HeaderValues.hexOrHash(text),
+                HeaderValues.parseHexOrHash(text),
                 text);
         assertEquals(text.split("\\?", 2)[0], HeaderValues.path(text), text);
     }
 
     @Test
     void secondsHaveThreeDecimals() {
-        assertEquals("0.000", HeaderValues.seconds(0));
-        assertEquals("0.001", HeaderValues.seconds(500));
-        assertEquals("0.050", HeaderValues.seconds(50_000));
-        assertEquals("12.345", HeaderValues.seconds(12_345_499));
-        assertEquals("13.000", HeaderValues.seconds(12_999_500));
+        assertEquals("0.000", HeaderValues.formatSeconds(0));
+        assertEquals("0.001", HeaderValues.formatSeconds(500));
+        assertEquals("0.050", HeaderValues.formatSeconds(50_000));
+        assertEquals("12.345", HeaderValues.formatSeconds(12_345_499));
+        assertEquals("13.000", HeaderValues.formatSeconds(12_999_500));
     }
 
     @Test
     void whatCouldBeReadTwoWaysIsNoWord() {
-        assertTrue(HeaderValues.isWord("a-1"));
-        assertFalse(HeaderValues.isWord("a b"));
+        assertTrue(HeaderValues.isToken("a-1"));
+        assertFalse(HeaderValues.isToken("a b"));
     }
 }
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -70,7 +70,7 @@
 
     public int sockets = 1024;
     public WatchTimeouts patience = WatchTimeouts.USUAL;
-    public ExponentialBackoff backoff = DiscoveryWatch.backoff();
+    public ExponentialBackoff backoff = DiscoveryWatch.defaultBackoff();
     private volatile LoadBalancerActions actions;
     public final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(new MonotonicClock());
 
@@ -138,8 +138,7 @@
     /** As on SIGHUP, with a file that names this discovery and has the settings that the rig has now. */
     public void reload(String discoveryAddress) throws Exception {
         sidecar.reconfigure(read(
-                json(discoveryAddress),
-                environment -> SidecarConfiguration.readAgain(environment, sidecar.settings())));
+                json(discoveryAddress), environment -> SidecarConfiguration.reload(environment, sidecar.settings())));
     }
 
     /** Set before the start: the sidecar is not ready, and this runs with each request that it takes all the same. */
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -30,12 +30,12 @@
 class UpstreamConnectionPoolTest {
     private final MonotonicClock clock = new MonotonicClock();
     private final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(clock);
-    private final EventLoop loop = reads.loop();
+    private final EventLoop loop = reads.eventLoop();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() {
-        reads.end();
+        reads.shutDown();
     }
 
     private UpstreamConnectionPool upstreams(long idleUs, int most) throws Exception {
@@ -49,14 +49,14 @@
     }
 
     private static EndpointList list(boolean whole, String... entries) {
-        return EndpointList.of(
+        return EndpointList.parse(
                 JsonObject.parse(SidecarFixture.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
     }
 
     private UpstreamCall call(String upstream) {
         return new UpstreamCall(
                 upstream,
-                clock.now() + 20_000_000,
+                clock.nowMicros() + 20_000_000,
                 false,
                 left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
                 (c, outcome, report, body) -> outcomes.add(upstream + " " + outcome));
@@ -84,9 +84,9 @@
                 list(true, SidecarFixture.entry("other", moved.address(), "Ready", 0))
             }) {
                 loop.execute(() -> {
-                    upstreams.update(ready);
-                    upstreams.start(call("u"));
-                    upstreams.update(change);
+                    upstreams.updateEndpoints(ready);
+                    upstreams.startCall(call("u"));
+                    upstreams.updateEndpoints(change);
                 });
                 assertEquals("u NOT_SENT", outcome());
             }
@@ -101,8 +101,8 @@
             UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
-                    upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0)));
-                    upstreams.start(call("u"));
+                    upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0)));
+                    upstreams.startCall(call("u"));
                 });
                 assertEquals("u OK", outcome());
             }
@@ -115,9 +115,10 @@
     void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
         try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             UpstreamConnectionPool upstreams = upstreams(1, 100);
-            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
+            loop.execute(
+                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 2; i++) {
-                loop.execute(() -> upstreams.start(call("u")));
+                loop.execute(() -> upstreams.startCall(call("u")));
                 assertEquals("u OK", outcome());
             }
             assertEquals(-1, up.accepted.take().getInputStream().read());
@@ -131,16 +132,16 @@
         try (StubServer a = new StubServer((m, line) -> line.answer("200 OK", "", ""));
                 StubServer silent = new StubServer((m, line) -> {})) {
             UpstreamConnectionPool upstreams = upstreams(15_000_000, 1);
-            loop.execute(() -> upstreams.update(list(
+            loop.execute(() -> upstreams.updateEndpoints(list(
                     true,
                     SidecarFixture.entry("a", a.address(), "Ready", 0),
                     SidecarFixture.entry("silent", silent.address(), "Ready", 0))));
-            loop.execute(() -> upstreams.start(call("a")));
+            loop.execute(() -> upstreams.startCall(call("a")));
             assertEquals("a OK", outcome());
-            loop.execute(() -> upstreams.start(call("silent")));
+            loop.execute(() -> upstreams.startCall(call("silent")));
             silent.next();
             assertEquals(-1, a.accepted.take().getInputStream().read());
-            loop.execute(() -> upstreams.start(call("a")));
+            loop.execute(() -> upstreams.startCall(call("a")));
             assertEquals("a NOT_SENT", outcome());
         }
     }
@@ -151,18 +152,18 @@
         try (StubServer a = new StubServer((m, line) -> line.answer("200 OK", "", ""));
                 StubServer silent = new StubServer((m, line) -> {})) {
             UpstreamConnectionPool upstreams = upstreams(15_000_000, 2);
-            loop.execute(() -> upstreams.update(list(
+            loop.execute(() -> upstreams.updateEndpoints(list(
                     true,
                     SidecarFixture.entry("a", a.address(), "Ready", 0),
                     SidecarFixture.entry("silent", silent.address(), "Ready", 0))));
-            loop.execute(() -> upstreams.start(call("a")));
+            loop.execute(() -> upstreams.startCall(call("a")));
             assertEquals("a OK", outcome());
-            loop.execute(() -> upstreams.start(call("silent")));
+            loop.execute(() -> upstreams.startCall(call("silent")));
             silent.next();
-            assertTrue(loop.submit(upstreams::dropOldestIdle).get());
+            assertTrue(loop.submit(upstreams::closeOldestIdleConnection).get());
             assertEquals(-1, a.accepted.take().getInputStream().read());
-            assertEquals(1, loop.submit(upstreams::open).get());
-            assertFalse(loop.submit(upstreams::dropOldestIdle).get());
+            assertEquals(1, loop.submit(upstreams::openConnections).get());
+            assertFalse(loop.submit(upstreams::closeOldestIdleConnection).get());
         }
     }
 
@@ -173,15 +174,15 @@
                 StubServer gone = new StubServer((m, line) -> {})) {
             gone.close();
             UpstreamConnectionPool upstreams = upstreams(15_000_000, 1);
-            loop.execute(() -> upstreams.update(list(
+            loop.execute(() -> upstreams.updateEndpoints(list(
                     true,
                     SidecarFixture.entry("u", up.address(), "Ready", 0),
                     SidecarFixture.entry("gone", gone.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
-                loop.execute(() -> upstreams.start(call("gone")));
+                loop.execute(() -> upstreams.startCall(call("gone")));
                 assertEquals("gone CONNECT_FAILED", outcome());
             }
-            loop.execute(() -> upstreams.start(call("u")));
+            loop.execute(() -> upstreams.startCall(call("u")));
             assertEquals("u OK", outcome());
             up.accepted.take().getInputStream().read();
         }
@@ -193,10 +194,11 @@
         UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
         int kept = loop.submit(() -> {
                     for (int i = 0; i < 50; i++) {
-                        upstreams.update(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
-                        upstreams.update(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
+                        upstreams.updateEndpoints(
+                                list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
+                        upstreams.updateEndpoints(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
                     }
-                    return upstreams.known();
+                    return upstreams.endpointCount();
                 })
                 .get();
         assertEquals(0, kept);
@@ -210,11 +212,12 @@
             line.socket().close();
         })) {
             UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
-            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
+            loop.execute(
+                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 5; i++) {
-                loop.execute(() -> upstreams.start(call("u")));
+                loop.execute(() -> upstreams.startCall(call("u")));
                 assertEquals("u OK", outcome());
-                while (loop.submit(upstreams::open).get() > 0) {
+                while (loop.submit(upstreams::openConnections).get() > 0) {
                     Thread.onSpinWait();
                 }
             }
@@ -239,10 +242,11 @@
             }
         })) {
             UpstreamConnectionPool upstreams = upstreams(15_000_000, 100, 3_600_000_000L);
-            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
-            loop.execute(() -> upstreams.start(call("u")));
+            loop.execute(
+                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.startCall(call("u")));
             assertEquals("u OK", outcome());
-            loop.execute(() -> upstreams.start(call("u")));
+            loop.execute(() -> upstreams.startCall(call("u")));
             assertEquals("u ERROR", outcome(), "another request's answer was taken");
         }
     }
@@ -252,9 +256,10 @@
     void aConnectionThatHasRestedIsUsedAgain() throws Exception {
         try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             UpstreamConnectionPool upstreams = upstreams(15_000_000, 100, 1_000);
-            loop.execute(() -> upstreams.update(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
+            loop.execute(
+                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
             for (int calls = 0; up.accepted.size() == calls; calls++) {
-                loop.execute(() -> upstreams.start(call("u")));
+                loop.execute(() -> upstreams.startCall(call("u")));
                 assertEquals("u OK", outcome());
             }
         }
