--- /dev/null
+++ b/src/main/java/loadbalancer/decision/AttemptResult.java
@@ -0,0 +1,20 @@
+package loadbalancer.decision;
+
+/**
+ * How one attempt ended.
+ *
+ * @param requestId the request that the attempt belongs to
+ * @param attempt number of the attempt within its request, from 0
+ * @param endpointId the endpoint that it was sent to
+ * @param latencyMicros time from the send to the outcome
+ * @param requestDone whether the request is over, by this outcome or already before it
+ * @param loadReport what the endpoint said of its load with the response, or null
+ */
+public record AttemptResult(
+        String requestId,
+        int attempt,
+        String endpointId,
+        AttemptOutcome outcome,
+        long latencyMicros,
+        boolean requestDone,
+        LoadReport loadReport) {}
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -4,41 +4,45 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * The interface of the decision module: events come in as method calls, decisions go out through
- * {@link LoadBalancerActions}. Times are microseconds of one clock that only moves forward; nothing else tells the
- * module the time.
+ * The decision module of one sidecar. The host reports events by these methods; decisions come out through
+ * {@link LoadBalancerActions}, also during a call. Not thread-safe: all calls come from one thread.
+ *
+ * <p>Times are microseconds of one clock that only moves forward. Nothing else tells the module the time, so that the
+ * same events and the same seed give the same decisions.
  */
 public interface LoadBalancer {
-
     /**
-     * Other settings hold from now on, checked by the host. Requests that are open keep their class; how lists come
-     * ({@link LoadBalancerSettings#discoveryOnRequest}) is the same as before.
+     * Puts other settings in force, which the host has checked. Requests in progress keep their request class. How
+     * endpoint lists come ({@link LoadBalancerSettings#polledDiscovery}) never changes.
      */
-    void onSettings(long now, LoadBalancerSettings settings);
+    void onSettings(long nowMicros, LoadBalancerSettings settings);
 
-    void onEndpointList(long now, EndpointListType kind, List<Endpoint> entries);
+    /** Reports an endpoint list, or that it could not be had; {@code endpoints} is empty then. */
+    void onEndpointList(long nowMicros, EndpointListType type, List<Endpoint> endpoints);
 
-    void onRequest(long now, Request request);
+    /**
+     * Takes a request. It is decided by exactly one final action or outcome.
+     *
+     * @throws IllegalArgumentException if the settings have no such request class
+     */
+    void onRequest(long nowMicros, Request request);
 
-    /** {@code done}: the request is over, by this outcome or already before it. */
-    void onAttemptOutcome(
-            long now,
-            String request,
-            int attempt,
-            String upstream,
-            AttemptOutcome outcome,
-            long latencyUs,
-            boolean done,
-            LoadReport report);
+    /** Reports how an attempt ended. */
+    void onAttemptOutcome(long nowMicros, AttemptResult result);
 
-    void onStreamStart(long now, String request, int attempt, String upstream, long latencyUs);
+    /** The first part of a streamed response was forwarded: from now on there is no other attempt. */
+    void onStreamStart(long nowMicros, String requestId, int attempt, String endpointId, long latencyMicros);
 
-    void onHealthCheck(long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report);
+    /** Reports the outcome of a health check; {@code loadReport} is null where the endpoint told no load. */
+    void onHealthCheck(
+            long nowMicros, String endpointId, AttemptOutcome outcome, long latencyMicros, LoadReport loadReport);
 
     /** The client has left, or the answer is overdue: the request is over. */
-    void onRequestExpired(long now, String request);
+    void onRequestExpired(long nowMicros, String requestId);
 
-    void onGossip(long now, int peer, byte[] message);
+    /** Takes gossip of another sidecar; a malformed message is ignored. */
+    void onGossip(long nowMicros, int sidecarIndex, byte[] message);
 
-    void onTimer(long now, String mark);
+    /** A timer started by {@link LoadBalancerActions#startTimer} is due. */
+    void onTimer(long nowMicros, String timerName);
 }
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -965,17 +965,11 @@
     }
 
     @Override
-    public void onAttemptOutcome(
-            long now,
-            String id,
-            int number,
-            String upstream,
-            AttemptOutcome outcome,
-            long latencyUs,
-            boolean done,
-            LoadReport report) {
-        Req r = open.get(id);
-        report(upstream, report, now);
+    public void onAttemptOutcome(long now, AttemptResult result) {
+        Req r = open.get(result.requestId());
+        int number = result.attempt();
+        AttemptOutcome outcome = result.outcome();
+        report(result.endpointId(), result.loadReport(), now);
         told = r == null ? null : told;
         if (r == null || number < 0 || number >= r.attempts.size() || r.attempts.get(number).ended) return;
         Attempt a = r.attempts.get(number);
@@ -992,8 +986,8 @@
         s.usedAt = now;
         closeIfLeaving(s);
         if (forgotten(s)) servers.remove(s.id, s);
-        health(now, s, a, outcome, latencyUs);
-        if (done || r.over) over(r);
+        health(now, s, a, outcome, result.latencyMicros());
+        if (result.requestDone() || r.over) over(r);
         else if (outcome == AttemptOutcome.INVALID_REQUEST) fail(r);
         else if (!r.streaming) next(now, r);
         dispatch(now, false);
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -14,6 +14,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.LoadReport;
 import loadbalancer.proxy.eventloop.FaultBarrier;
 import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
@@ -199,7 +200,9 @@
         decisions.submit(
                 "an outcome",
                 m -> m.onAttemptOutcome(
-                        now, x.request.id(), number, call.upstream(), outcome, now - call.sentUs(), x.over, report),
+                        now,
+                        new AttemptResult(
+                                x.request.id(), number, call.upstream(), outcome, now - call.sentUs(), x.over, report)),
                 () -> failUnlessOut(x));
     }
 
--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.Endpoint;
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.EndpointState;
@@ -127,7 +128,8 @@
     private void outcome() {
         if (!sends.isEmpty()) {
             String[] s = sends.remove(random.nextInt(sends.size()));
-            module.onAttemptOutcome(nowUs, s[0], 0, s[1], AttemptOutcome.OK, (long) FleetShape.WORK_US, true, null);
+            module.onAttemptOutcome(
+                    nowUs, new AttemptResult(s[0], 0, s[1], AttemptOutcome.OK, (long) FleetShape.WORK_US, true, null));
         }
     }
 
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -6,6 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.Endpoint;
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.LoadBalancingPolicy;
@@ -78,13 +79,14 @@
             }
             module.onAttemptOutcome(
                     fleet.now(),
-                    request,
-                    number,
-                    upstream,
-                    late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
-                    endUs - sentUs,
-                    !late,
-                    null);
+                    new AttemptResult(
+                            request,
+                            number,
+                            upstream,
+                            late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
+                            endUs - sentUs,
+                            !late,
+                            null));
         });
     }
 
--- a/src/main/java/loadbalancer/simulator/SimulatorHost.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorHost.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.Endpoint;
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.EndpointState;
@@ -184,7 +185,7 @@
                 guarded(
                         name,
                         () -> instance.balancer.onAttemptOutcome(
-                                now, id, attempt, upstream, outcome, latency, done, report));
+                                now, new AttemptResult(id, attempt, upstream, outcome, latency, done, report)));
             }
             case "OPENED" -> {
                 String id = f.text();
--- a/src/test/java/loadbalancer/decision/LoadBalancingPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/LoadBalancingPolicyTest.java
@@ -66,7 +66,8 @@
         rig.stream = true;
         rig.start().list(A, B).request("r");
         rig.policy.onStreamStart(rig.now, "r", 0, rig.sentTo("r", 0), 5_000);
-        rig.policy.onAttemptOutcome(rig.now, "r", 0, rig.sentTo("r", 0), AttemptOutcome.RESET, 9_000, true, null);
+        rig.policy.onAttemptOutcome(
+                rig.now, new AttemptResult("r", 0, rig.sentTo("r", 0), AttemptOutcome.RESET, 9_000, true, null));
         assertEquals(1, rig.take("send").size());
         assertTrue(rig.take("fail").isEmpty() && rig.take("refuse").isEmpty());
     }
@@ -1023,7 +1024,8 @@
     void aFullServerLeavesTheDrawByItsOwnWord() {
         PolicyFixture rig = new PolicyFixture().start().list(A, B).request("r");
         String to = rig.sentTo("r", 0);
-        rig.policy.onAttemptOutcome(rig.now, "r", 0, to, AttemptOutcome.OK, 50_000, true, new LoadReport(9, 8, 1));
+        rig.policy.onAttemptOutcome(
+                rig.now, new AttemptResult("r", 0, to, AttemptOutcome.OK, 50_000, true, new LoadReport(9, 8, 1)));
         for (int i = 0; i < 3; i++) {
             rig.request("n" + i);
             assertNotEquals(to, rig.sentTo("n" + i, 0));
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -82,7 +82,8 @@
     }
 
     PolicyFixture outcome(String id, int attempt, String upstream, AttemptOutcome outcome, long latencyUs) {
-        policy.onAttemptOutcome(now, id, attempt, upstream, outcome, latencyUs, outcome == AttemptOutcome.OK, null);
+        policy.onAttemptOutcome(
+                now, new AttemptResult(id, attempt, upstream, outcome, latencyUs, outcome == AttemptOutcome.OK, null));
         return this;
     }
 
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.LoadBalancer;
 import loadbalancer.decision.Request;
 import loadbalancer.proxy.eventloop.EventLoopMonitor;
@@ -47,10 +48,11 @@
                                     getClass().getClassLoader(),
                                     new Class<?>[] {LoadBalancer.class},
                                     (self, method, arguments) -> {
-                                        told.add(method.getName()
-                                                + (method.getName().equals("onAttemptOutcome")
-                                                        ? " " + arguments[1] + " " + arguments[4] + " " + arguments[6]
-                                                        : ""));
+                                        String outcome = arguments[arguments.length - 1] instanceof AttemptResult result
+                                                ? " " + result.requestId() + " " + result.outcome() + " "
+                                                        + result.requestDone()
+                                                : "";
+                                        told.add(method.getName() + outcome);
                                         return null;
                                     }),
                             null);
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.LoadBalancer;
 import loadbalancer.decision.LoadBalancingPolicy;
 import loadbalancer.proxy.testing.SidecarFixture;
@@ -28,8 +29,8 @@
                     LoadBalancer.class.getClassLoader(),
                     new Class<?>[] {LoadBalancer.class},
                     (proxy, method, arguments) -> {
-                        if (method.getName().equals("onAttemptOutcome")
-                                && arguments[4] == AttemptOutcome.OK
+                        if (arguments[arguments.length - 1] instanceof AttemptResult result
+                                && result.outcome() == AttemptOutcome.OK
                                 && served.incrementAndGet() >= 10) {
                             many.countDown();
                         }
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.Endpoint;
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.LoadBalancer;
@@ -225,18 +226,11 @@
         }
 
         @Override
-        public void onAttemptOutcome(
-                long now,
-                String request,
-                int attempt,
-                String upstream,
-                AttemptOutcome outcome,
-                long latencyUs,
-                boolean done,
-                LoadReport report) {
-            told.add("outcome " + request + " " + attempt + " " + outcome + " " + done + " "
-                    + (report == null ? "-" : report.inFlight()));
-            onOutcome.take(request, outcome, done, actions);
+        public void onAttemptOutcome(long now, AttemptResult result) {
+            LoadReport report = result.loadReport();
+            told.add("outcome " + result.requestId() + " " + result.attempt() + " " + result.outcome() + " "
+                    + result.requestDone() + " " + (report == null ? "-" : report.inFlight()));
+            onOutcome.take(result.requestId(), result.outcome(), result.requestDone(), actions);
         }
 
         @Override
