--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -200,7 +200,7 @@
         String id = word(h, HeaderNames.REQUEST_ID);
         RequestClass lane = classes.get(word(h, HeaderNames.REQUEST_CLASS));
         long remainingMs = HeaderValues.parseWholeNumber(word(h, HeaderNames.REMAINING_MILLIS));
-        if (id.isEmpty() || requests.knows(id) || lane == null || remainingMs <= 0 || !fits(m, lane)) {
+        if (id.isEmpty() || requests.isOpen(id) || lane == null || remainingMs <= 0 || !fits(m, lane)) {
             // What no upstream could use is said here: there it would look like the upstream's own failure.
             write(false, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER, 0);
             return;
@@ -220,32 +220,30 @@
                 Math.max(1, deadline - clock.nowMicros()),
                 h.get(HeaderNames.TENANT),
                 lane.name());
-        boolean keepAlive = HttpUtil.isKeepAlive(m);
-        current = new RequestExchange(
-                request,
-                m.method(),
-                m.uri(),
-                h.get(HeaderNames.IDEMPOTENCY_KEY),
-                ByteBufUtil.getBytes(m.content()),
-                deadline,
-                new RequestExchange.Answer() {
-                    @Override
-                    public void served(ByteBuf body) {
-                        write(keepAlive, HttpResponseStatus.OK, body, 0);
-                    }
-
-                    @Override
-                    public void refused(long retryAfterUs) {
-                        write(keepAlive, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfterUs);
-                    }
-
-                    @Override
-                    public void failed() {
-                        write(keepAlive, HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
-                    }
-                });
+        RequestPayload payload = new RequestPayload(
+                m.method(), m.uri(), h.get(HeaderNames.IDEMPOTENCY_KEY), ByteBufUtil.getBytes(m.content()));
+        current = new RequestExchange(request, payload, deadline, responseHandler(HttpUtil.isKeepAlive(m)));
         server.taken();
-        requests.take(current);
+        requests.dispatch(current);
+    }
+
+    private ResponseHandler responseHandler(boolean keepAlive) {
+        return new ResponseHandler() {
+            @Override
+            public void onServed(ByteBuf body) {
+                write(keepAlive, HttpResponseStatus.OK, body, 0);
+            }
+
+            @Override
+            public void onRejected(long retryAfterMicros) {
+                write(keepAlive, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfterMicros);
+            }
+
+            @Override
+            public void onFailed() {
+                write(keepAlive, HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
+            }
+        };
     }
 
     /** The one value of a header; empty where there is none, or where several or odd ones could be read two ways. */
@@ -372,7 +370,7 @@
         if (current != null) {
             RequestExchange gone = current;
             current = null;
-            requests.left(gone);
+            requests.clientDisconnected(gone);
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -171,7 +171,7 @@
         // Not the field: clients that come at once are here before listen() has set it.
         ChannelConfig accepting = channel.parent().config();
         acceptedUs = clock.nowMicros();
-        requests.answerOverdue();
+        requests.failOverdueRequests();
         ClientConnection connection = new ClientConnection(channel, reads, requests, classes, this, backlog.waitedUs());
         connections.add(connection);
         totals.clientConnectionAccepted();
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -1,11 +1,7 @@
 package loadbalancer.proxy.client;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -21,243 +17,284 @@
 import loadbalancer.proxy.eventloop.MonotonicClock;
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.observability.TrafficStatistics;
-import loadbalancer.proxy.protocol.HeaderNames;
 import loadbalancer.proxy.upstream.UpstreamCall;
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
-/** The requests held: each is told to the module, carried through its attempts and answered exactly once. */
+/**
+ * Carries requests between clients, the load balancer and the upstream connections: reports each request and each
+ * outcome of an attempt to the load balancer, carries out what that decides, and gives every request exactly one final
+ * response. Where the load balancer fails or gives no response in time, the request fails here.
+ *
+ * <p>Confined to the event loop, as are the exchanges that it holds. Unknown request ids are ignored, because a
+ * decision may arrive after the request has ended.
+ */
 public final class RequestDispatcher {
-    /** The module answers at the deadline, when attempts time out; what it has not by then is answered here. */
-    private static final long OVERDUE_US = 2_000;
+    /** How long after the deadline the load balancer may still respond; attempts time out at the deadline itself. */
+    private static final long RESPONSE_GRACE_MICROS = 2_000;
 
-    /** An answer so long after its time is a fault to be looked into, here or of the machine. */
-    private static final long LATE_US = 100_000;
+    /** A response this long after the deadline is logged: it points to a fault of this program or of its machine. */
+    private static final long LATE_RESPONSE_LOG_MICROS = 100_000;
 
     private final EventLoop loop;
     private final MonotonicClock clock;
-    private final LoadBalancerExecutor decisions;
+    private final LoadBalancerExecutor loadBalancer;
     private final UpstreamConnectionPool upstreams;
     private int maxAttempts;
-    private final TrafficStatistics totals;
-    private final Map<String, RequestExchange> open = new HashMap<>();
-    /** Those without their answer, the earliest deadline first. */
-    private final TreeSet<RequestExchange> unanswered = new TreeSet<>(
-            Comparator.comparingLong((RequestExchange x) -> x.deadlineUs).thenComparing(x -> x.request.id()));
-    /** When the first of them is overdue, at the latest. Null where none is waited for. */
-    private Future<?> nextLook;
+    private final TrafficStatistics statistics;
+    /** Requests without a final response or with an attempt in flight, by id. */
+    private final Map<String, RequestExchange> exchanges = new HashMap<>();
+    /** Requests without a final response, the earliest deadline first. */
+    private final TreeSet<RequestExchange> pendingResponses = new TreeSet<>(
+            Comparator.comparingLong(RequestExchange::deadlineMicros).thenComparing(RequestExchange::requestId));
+    /** Due when the first pending response is overdue, or earlier; null where no response is pending. */
+    private Future<?> deadlineCheck;
 
     public RequestDispatcher(
             EventLoop loop,
             MonotonicClock clock,
-            LoadBalancerExecutor decisions,
+            LoadBalancerExecutor loadBalancer,
             UpstreamConnectionPool upstreams,
             int maxAttempts,
-            TrafficStatistics totals) {
+            TrafficStatistics statistics) {
         this.loop = loop;
         this.clock = clock;
-        this.decisions = decisions;
+        this.loadBalancer = loadBalancer;
         this.upstreams = upstreams;
         this.maxAttempts = maxAttempts;
-        this.totals = totals;
+        this.statistics = statistics;
     }
 
+    /** Sets how many attempts a request may have from now on; further ones end as not sent. */
     public void updateMaxAttempts(int attempts) {
         maxAttempts = attempts;
     }
 
-    boolean knows(String id) {
-        return open.containsKey(id);
+    /** How many requests have no final response yet or an attempt in flight. */
+    public int openRequests() {
+        return exchanges.size();
     }
 
-    /** How many are held: without their answer, or with an attempt still out. */
-    public int openRequests() {
-        return open.size();
+    boolean isOpen(String requestId) {
+        return exchanges.containsKey(requestId);
     }
 
-    /** What is owed already goes out before; one whose own time is up is answered at once, and the module not told. */
-    void take(RequestExchange x) {
-        answerOverdue();
-        x.takenUs = clock.nowMicros();
-        totals.requestAccepted(x.request.requestClass());
-        if (x.takenUs >= x.deadlineUs) {
-            x.over = true;
-            totals.requestFailed();
-            x.answer.failed();
+    /**
+     * Takes over a request. Overdue responses are written first. A request whose own deadline has passed fails at once
+     * and is not reported to the load balancer.
+     */
+    void dispatch(RequestExchange exchange) {
+        failOverdueRequests();
+        exchange.dispatchedAt(clock.nowMicros());
+        statistics.requestAccepted(exchange.request().requestClass());
+        if (exchange.dispatchedMicros() >= exchange.deadlineMicros()) {
+            exchange.complete();
+            statistics.requestFailed();
+            exchange.responseHandler().onFailed();
             return;
         }
-        open.put(x.request.id(), x);
-        unanswered.add(x);
-        if (unanswered.first() == x) {
-            lookAt(x.deadlineUs + OVERDUE_US);
+        exchanges.put(exchange.requestId(), exchange);
+        pendingResponses.add(exchange);
+        if (pendingResponses.first() == exchange) {
+            scheduleDeadlineCheck();
         }
-        decisions.submit("a request", m -> m.onRequest(clock.nowMicros(), x.request), () -> fail(x));
+        loadBalancer.submit(
+                "request", balancer -> balancer.onRequest(clock.nowMicros(), exchange.request()), () -> fail(exchange));
     }
 
-    /** The client has left: nothing is owed any more, and what an upstream already has ends by itself. */
-    void left(RequestExchange x) {
-        if (!x.over) {
-            totals.clientDisconnected();
-            finish(x);
-            expired(x);
+    /** Ends a request without a response. An attempt that is already written ends by itself. */
+    void clientDisconnected(RequestExchange exchange) {
+        if (!exchange.isCompleted()) {
+            statistics.clientDisconnected();
+            complete(exchange);
+            reportExpired(exchange);
         }
     }
 
     /**
-     * Answers what should have been answered by now, oldest deadline first. In a loop that was late this comes before
-     * anything else that waits: a short answer may still be in time where one behind a hundred requests is not.
+     * Fails the requests whose deadline and grace have passed, the earliest deadline first. On a late event loop this
+     * runs ahead of other work: a failure written now may still be in time, one behind a hundred requests is not.
      */
-    void answerOverdue() {
-        long now = clock.nowMicros();
-        while (!unanswered.isEmpty() && unanswered.first().deadlineUs + OVERDUE_US <= now) {
-            overdue(unanswered.pollFirst());
+    void failOverdueRequests() {
+        long nowMicros = clock.nowMicros();
+        while (!pendingResponses.isEmpty() && overdueMicros(pendingResponses.first()) <= nowMicros) {
+            failAndExpire(pendingResponses.pollFirst());
         }
     }
 
-    private void lookAt(long timeUs) {
-        if (nextLook != null) {
-            nextLook.cancel(false);
-        }
-        nextLook = loop.schedule(this::look, timeUs - clock.nowMicros(), TimeUnit.MICROSECONDS);
+    private static long overdueMicros(RequestExchange exchange) {
+        return exchange.deadlineMicros() + RESPONSE_GRACE_MICROS;
     }
 
-    private void look() {
-        nextLook = null;
-        FaultBarrier.run("an overdue answer", this::answerOverdue);
-        if (!unanswered.isEmpty()) {
-            lookAt(unanswered.first().deadlineUs + OVERDUE_US);
+    private void scheduleDeadlineCheck() {
+        if (deadlineCheck != null) {
+            deadlineCheck.cancel(false);
         }
+        long delayMicros = overdueMicros(pendingResponses.first()) - clock.nowMicros();
+        deadlineCheck = loop.schedule(this::checkDeadlines, delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void overdue(RequestExchange x) {
-        if (!x.over) {
-            fail(x);
-            expired(x);
+    private void checkDeadlines() {
+        deadlineCheck = null;
+        FaultBarrier.run("overdue_responses", this::failOverdueRequests);
+        if (!pendingResponses.isEmpty()) {
+            scheduleDeadlineCheck();
         }
     }
 
-    private void expired(RequestExchange x) {
-        decisions.submit("a client that left", m -> m.onRequestExpired(clock.nowMicros(), x.request.id()), () -> {});
+    /** Fails the open requests that have no attempt in flight, after a fault in which their state may be lost. */
+    public void failRequestsWithoutAttemptInFlight() {
+        for (RequestExchange exchange : List.copyOf(exchanges.values())) {
+            if (!exchange.hasAttemptInFlight()) {
+                failAndExpire(exchange);
+            }
+        }
     }
 
-    /** After a call that broke off: what the module held may be forgotten, so it is answered now. */
-    public void failHeld() {
-        for (RequestExchange x : List.copyOf(open.values())) {
-            if (x.noneOut()) {
-                overdue(x);
-            }
+    private void failAndExpire(RequestExchange exchange) {
+        if (!exchange.isCompleted()) {
+            fail(exchange);
+            reportExpired(exchange);
         }
     }
 
-    public void sendAttempt(String id, String upstream, long untilUs) {
-        RequestExchange x = open.get(id);
-        if (x == null) {
+    private void reportExpired(RequestExchange exchange) {
+        loadBalancer.submit(
+                "request_expired",
+                balancer -> balancer.onRequestExpired(clock.nowMicros(), exchange.requestId()),
+                () -> {});
+    }
+
+    /**
+     * Starts an attempt of a request. One that is out of time, beyond the maximum or of a completed request is not sent
+     * and ends as {@link AttemptOutcome#NOT_SENT}.
+     *
+     * @param untilMicros when to give the attempt up; 0 or less, and any time after it, stand for the deadline
+     */
+    public void sendAttempt(String requestId, String endpointId, long untilMicros) {
+        RequestExchange exchange = exchanges.get(requestId);
+        if (exchange == null) {
             return;
         }
-        int number = x.attempts.size();
-        long until = untilUs <= 0 ? x.deadlineUs : Math.min(untilUs, x.deadlineUs);
-        boolean moot = x.over || number >= maxAttempts || until <= clock.nowMicros();
-        UpstreamCall call = new UpstreamCall(
-                upstream,
-                until,
-                false,
-                left -> message(x, left),
-                (c, outcome, report, body) -> ended(x, number, c, outcome, report, body));
+        int number = exchange.attempts().size();
+        long deadlineMicros = exchange.deadlineMicros();
+        long giveUpMicros = untilMicros <= 0 ? deadlineMicros : Math.min(untilMicros, deadlineMicros);
+        boolean sendable = !exchange.isCompleted() && number < maxAttempts && giveUpMicros > clock.nowMicros();
+        UpstreamCall attempt = createAttempt(exchange, number, endpointId, giveUpMicros);
         if (number == 0) {
-            totals.firstAttemptStarted(clock.nowMicros() - x.takenUs);
+            statistics.firstAttemptStarted(clock.nowMicros() - exchange.dispatchedMicros());
         }
-        x.attempts.add(call);
-        if (moot) {
-            call.sentAt(clock.nowMicros());
-            call.end(AttemptOutcome.NOT_SENT, null, null);
+        exchange.attempts().add(attempt);
+        if (sendable) {
+            upstreams.startCall(attempt);
         } else {
-            upstreams.startCall(call);
+            attempt.sentAt(clock.nowMicros());
+            attempt.end(AttemptOutcome.NOT_SENT, null, null);
         }
     }
 
-    private static FullHttpRequest message(RequestExchange x, long leftUs) {
-        FullHttpRequest message =
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, x.method, x.uri, Unpooled.wrappedBuffer(x.body));
-        message.headers()
-                .set(HeaderNames.REQUEST_ID, x.request.id())
-                .set(HeaderNames.REMAINING_MILLIS, Math.max(1, leftUs / 1000));
-        if (x.idempotencyKey != null) {
-            message.headers().set(HeaderNames.IDEMPOTENCY_KEY, x.idempotencyKey);
-        }
-        return message;
+    private UpstreamCall createAttempt(RequestExchange exchange, int number, String endpointId, long giveUpMicros) {
+        return new UpstreamCall(
+                endpointId,
+                giveUpMicros,
+                false,
+                remainingMicros -> exchange.payload().toHttpRequest(exchange.requestId(), remainingMicros),
+                (call, outcome, report, body) -> {
+                    attemptEnded(exchange, call, outcome, body);
+                    reportOutcome(exchange, number, report);
+                });
     }
 
-    private void ended(
-            RequestExchange x, int number, UpstreamCall call, AttemptOutcome outcome, LoadReport report, ByteBuf body) {
-        call.endedAt(clock.nowMicros());
-        totals.attemptCompleted(outcome);
-        if (outcome == AttemptOutcome.OK && !x.over) {
-            totals.requestServed(x.request.requestClass());
-            finish(x);
-            x.answer.served(body.retain());
+    /** {@code body} belongs to the caller and is set with {@link AttemptOutcome#OK} alone. */
+    private void attemptEnded(RequestExchange exchange, UpstreamCall attempt, AttemptOutcome outcome, ByteBuf body) {
+        attempt.endedAt(clock.nowMicros());
+        statistics.attemptCompleted(outcome);
+        if (outcome == AttemptOutcome.OK && !exchange.isCompleted()) {
+            statistics.requestServed(exchange.request().requestClass());
+            complete(exchange);
+            exchange.responseHandler().onServed(body.retain());
         }
-        forgetIfSettled(x);
-        long now = clock.nowMicros();
-        decisions.submit(
-                "an outcome",
-                m -> m.onAttemptOutcome(
-                        now,
+        removeIfSettled(exchange);
+    }
+
+    private void reportOutcome(RequestExchange exchange, int number, LoadReport report) {
+        long nowMicros = clock.nowMicros();
+        UpstreamCall attempt = exchange.attempts().get(number);
+        loadBalancer.submit(
+                "attempt_outcome",
+                balancer -> balancer.onAttemptOutcome(
+                        nowMicros,
                         new AttemptResult(
-                                x.request.id(), number, call.upstream(), outcome, now - call.sentUs(), x.over, report)),
-                () -> failUnlessOut(x));
+                                exchange.requestId(),
+                                number,
+                                attempt.upstream(),
+                                attempt.outcome(),
+                                nowMicros - attempt.sentUs(),
+                                exchange.isCompleted(),
+                                report)),
+                () -> failUnlessInFlight(exchange));
     }
 
-    private void failUnlessOut(RequestExchange x) {
-        if (x.noneOut()) {
-            fail(x);
+    private void failUnlessInFlight(RequestExchange exchange) {
+        if (!exchange.hasAttemptInFlight()) {
+            fail(exchange);
         }
     }
 
-    public void reject(String id, long retryAfterUs) {
-        RequestExchange x = open.get(id);
-        if (x != null && !x.over) {
-            totals.requestRejected(x.request.requestClass());
-            finish(x);
-            x.answer.refused(retryAfterUs);
+    /** Gives up one attempt of a request; without effect where there is none of that number or it has ended. */
+    public void cancelAttempt(String requestId, int number) {
+        RequestExchange exchange = exchanges.get(requestId);
+        if (exchange != null && number >= 0 && number < exchange.attempts().size()) {
+            exchange.attempts().get(number).cancel();
         }
     }
 
-    public void fail(String id) {
-        if (open.containsKey(id)) {
-            fail(open.get(id));
+    /** Rejects a request; {@code retryAfterMicros} is 0 where none is suggested. */
+    public void reject(String requestId, long retryAfterMicros) {
+        RequestExchange exchange = exchanges.get(requestId);
+        if (exchange != null && !exchange.isCompleted()) {
+            statistics.requestRejected(exchange.request().requestClass());
+            complete(exchange);
+            exchange.responseHandler().onRejected(retryAfterMicros);
         }
     }
 
-    private void fail(RequestExchange x) {
-        if (!x.over) {
-            totals.requestFailed();
-            finish(x);
-            x.answer.failed();
+    /** Responds to a request that it has failed. */
+    public void fail(String requestId) {
+        RequestExchange exchange = exchanges.get(requestId);
+        if (exchange != null) {
+            fail(exchange);
         }
     }
 
-    public void cancelAttempt(String id, int attempt) {
-        RequestExchange x = open.get(id);
-        if (x != null && attempt >= 0 && attempt < x.attempts.size()) {
-            x.attempts.get(attempt).cancel();
+    private void fail(RequestExchange exchange) {
+        if (!exchange.isCompleted()) {
+            statistics.requestFailed();
+            complete(exchange);
+            exchange.responseHandler().onFailed();
         }
     }
 
-    /** An attempt whose connection is still coming up would be sent on for nobody, as late as that takes. */
-    private void finish(RequestExchange x) {
-        x.over = true;
-        long now = clock.nowMicros();
-        // One whose time was up behind others of its connection, sent ahead, was late before it was taken.
-        if (now - x.deadlineUs > LATE_US && x.takenUs < x.deadlineUs) {
-            SidecarLog.info(x.story(now));
+    /** Attempts that still wait for a connection are withdrawn: no endpoint has to run them any more. */
+    private void complete(RequestExchange exchange) {
+        exchange.complete();
+        logIfLate(exchange);
+        pendingResponses.remove(exchange);
+        exchange.attempts().forEach(UpstreamCall::withdraw);
+        removeIfSettled(exchange);
+    }
+
+    private void logIfLate(RequestExchange exchange) {
+        long nowMicros = clock.nowMicros();
+        boolean late = nowMicros - exchange.deadlineMicros() > LATE_RESPONSE_LOG_MICROS;
+        // A pipelined request may be past its deadline before it is dispatched: no fault of this program.
+        if (late && exchange.dispatchedMicros() < exchange.deadlineMicros()) {
+            SidecarLog.info(exchange.describeLateResponse(nowMicros));
         }
-        unanswered.remove(x);
-        x.attempts.forEach(UpstreamCall::withdraw);
-        forgetIfSettled(x);
     }
 
-    private void forgetIfSettled(RequestExchange x) {
-        if (x.settled()) {
-            open.remove(x.request.id());
+    private void removeIfSettled(RequestExchange exchange) {
+        if (exchange.isSettled()) {
+            exchanges.remove(exchange.requestId());
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/RequestExchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -1,79 +1,109 @@
 package loadbalancer.proxy.client;
 
-import io.netty.buffer.ByteBuf;
-import io.netty.handler.codec.http.HttpMethod;
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.decision.Request;
 import loadbalancer.proxy.upstream.UpstreamCall;
 
-/** One request, from its last byte read to its one final answer and the end of its last attempt. */
+/**
+ * One request and its attempts, from its receipt until it has its final response and no attempt is in flight. Confined
+ * to the event loop. Times are those of the {@link loadbalancer.proxy.eventloop.MonotonicClock}, in microseconds.
+ */
 final class RequestExchange {
-    /** Where the final answer goes. Each exchange calls one of these once. */
-    interface Answer {
-        void served(ByteBuf body);
+    private static final long MICROS_PER_MILLI = 1_000;
 
-        void refused(long retryAfterUs);
+    private final Request request;
+    private final RequestPayload payload;
+    private final long deadlineMicros;
+    private final ResponseHandler responseHandler;
+    private final List<UpstreamCall> attempts = new ArrayList<>(1);
+    private long dispatchedMicros;
+    private boolean completed;
 
-        void failed();
+    /** The response has to be written by {@code deadlineMicros}. */
+    RequestExchange(Request request, RequestPayload payload, long deadlineMicros, ResponseHandler responseHandler) {
+        this.request = request;
+        this.payload = payload;
+        this.deadlineMicros = deadlineMicros;
+        this.responseHandler = responseHandler;
     }
 
-    final Request request;
-    final HttpMethod method;
-    final String uri;
-    /** Null where the request carries no key. */
-    final String idempotencyKey;
-
-    final byte[] body;
-    /** Module time by which the final answer must be on its way. */
-    final long deadlineUs;
-
-    final Answer answer;
-    /** When the module was told of it. */
-    long takenUs;
-
-    final List<UpstreamCall> attempts = new ArrayList<>(1);
-    boolean over;
-
-    RequestExchange(
-            Request request,
-            HttpMethod method,
-            String uri,
-            String idempotencyKey,
-            byte[] body,
-            long deadlineUs,
-            Answer answer) {
-        this.request = request;
-        this.method = method;
-        this.uri = uri;
-        this.idempotencyKey = idempotencyKey;
-        this.body = body;
-        this.deadlineUs = deadlineUs;
-        this.answer = answer;
+    Request request() {
+        return request;
     }
 
-    /** What became of it, for the log: its steps with their times in milliseconds after it was taken. */
-    String story(long now) {
-        StringBuilder text = new StringBuilder(request.id())
-                .append(" was over ")
-                .append((now - deadlineUs) / 1000)
-                .append(" ms after its time, ")
-                .append((now - takenUs) / 1000)
-                .append(" after it was taken:");
-        for (UpstreamCall c : attempts) {
-            text.append(' ').append(c.upstream()).append(" at ").append((c.sentUs() - takenUs) / 1000);
-            if (c.ended()) {
-                text.append(' ').append(c.outcome()).append(" at ").append((c.endedUs() - takenUs) / 1000);
-            }
-        }
-        return attempts.isEmpty() ? text.append(" no attempt").toString() : text.toString();
+    String requestId() {
+        return request.id();
+    }
+
+    RequestPayload payload() {
+        return payload;
+    }
+
+    long deadlineMicros() {
+        return deadlineMicros;
+    }
+
+    ResponseHandler responseHandler() {
+        return responseHandler;
+    }
+
+    /** The attempts in the order in which they were started; the index of one is its number. */
+    List<UpstreamCall> attempts() {
+        return attempts;
+    }
+
+    /** When the dispatcher received the request. */
+    long dispatchedMicros() {
+        return dispatchedMicros;
+    }
+
+    void dispatchedAt(long nowMicros) {
+        dispatchedMicros = nowMicros;
+    }
+
+    /** Whether the final response was given, or none is needed because the client has disconnected. */
+    boolean isCompleted() {
+        return completed;
+    }
+
+    void complete() {
+        completed = true;
     }
 
-    boolean settled() {
-        return over && noneOut();
+    boolean hasAttemptInFlight() {
+        return !attempts.stream().allMatch(UpstreamCall::ended);
+    }
+
+    /** Whether nothing can happen to the request any more. */
+    boolean isSettled() {
+        return completed && !hasAttemptInFlight();
+    }
+
+    /** The log line for a late response: its delay, and each attempt with times since the request was dispatched. */
+    String describeLateResponse(long nowMicros) {
+        StringBuilder line = new StringBuilder("response_late request=")
+                .append(request.id())
+                .append(" late_millis=")
+                .append((nowMicros - deadlineMicros) / MICROS_PER_MILLI)
+                .append(" elapsed_millis=")
+                .append(millisSinceDispatch(nowMicros))
+                .append(" attempts=")
+                .append(attempts.size());
+        for (int number = 0; number < attempts.size(); number++) {
+            UpstreamCall attempt = attempts.get(number);
+            line.append(" attempt=").append(number);
+            line.append(" endpoint=").append(attempt.upstream());
+            line.append(" started_millis=").append(millisSinceDispatch(attempt.sentUs()));
+            if (attempt.ended()) {
+                line.append(" outcome=").append(attempt.outcome());
+                line.append(" ended_millis=").append(millisSinceDispatch(attempt.endedUs()));
+            }
+        }
+        return line.toString();
     }
 
-    boolean noneOut() {
-        return attempts.stream().allMatch(UpstreamCall::ended);
+    private long millisSinceDispatch(long timeMicros) {
+        return (timeMicros - dispatchedMicros) / MICROS_PER_MILLI;
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/client/RequestPayload.java
@@ -0,0 +1,33 @@
+package loadbalancer.proxy.client;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
+import loadbalancer.proxy.protocol.HeaderNames;
+
+/**
+ * What every attempt of a request passes on unchanged. {@code idempotencyKey} is null where the request carries none;
+ * {@code body} is a copy on the heap, shared by all attempts and never modified.
+ */
+record RequestPayload(HttpMethod method, String uri, String idempotencyKey, byte[] body) {
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /**
+     * Builds the message of one attempt.
+     *
+     * @param remainingMicros how long the sidecar waits for the response; stated as 1 ms at least
+     */
+    FullHttpRequest toHttpRequest(String requestId, long remainingMicros) {
+        FullHttpRequest message =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body));
+        message.headers()
+                .set(HeaderNames.REQUEST_ID, requestId)
+                .set(HeaderNames.REMAINING_MILLIS, Math.max(1, remainingMicros / MICROS_PER_MILLI));
+        if (idempotencyKey != null) {
+            message.headers().set(HeaderNames.IDEMPOTENCY_KEY, idempotencyKey);
+        }
+        return message;
+    }
+}
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -387,7 +387,10 @@
         @Override
         public void startTimer(String mark, long delayUs) {
             loop.schedule(
-                    () -> decisions.submit("a timer", m -> m.onTimer(clock.nowMicros(), mark), requests::failHeld),
+                    () -> decisions.submit(
+                            "a timer",
+                            m -> m.onTimer(clock.nowMicros(), mark),
+                            requests::failRequestsWithoutAttemptInFlight),
                     delayUs,
                     TimeUnit.MICROSECONDS);
         }
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -29,14 +29,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events that cross within one turn of the loop, where no connection can come up in between. */
+/** Events that meet in one iteration of the event loop, in which no connection can be established. */
 @Timeout(60)
 class RequestDispatcherTest {
     private final MonotonicClock clock = new MonotonicClock();
     private final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(clock);
     private final EventLoop loop = reads.eventLoop();
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    private RequestDispatcher requests;
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    private RequestDispatcher dispatcher;
     private UpstreamConnectionPool upstreams;
 
     @BeforeEach
@@ -52,13 +52,13 @@
                                                 ? " " + result.requestId() + " " + result.outcome() + " "
                                                         + result.requestDone()
                                                 : "";
-                                        told.add(method.getName() + outcome);
+                                        events.add(method.getName() + outcome);
                                         return null;
                                     }),
                             null);
                     upstreams = new UpstreamConnectionPool(
                             reads, 15_000_000, 0, 2_000_000, 20_000, () -> 100, new TrafficStatistics());
-                    requests = new RequestDispatcher(loop, clock, decisions, upstreams, 4, new TrafficStatistics());
+                    dispatcher = new RequestDispatcher(loop, clock, decisions, upstreams, 4, new TrafficStatistics());
                 })
                 .sync();
     }
@@ -71,89 +71,88 @@
     private RequestExchange exchange(String id) {
         return new RequestExchange(
                 new Request(id, -1, false, false, 0, 20_000_000, "t", "c"),
-                HttpMethod.GET,
-                "/api",
-                null,
-                new byte[0],
+                new RequestPayload(HttpMethod.GET, "/api", null, new byte[0]),
                 clock.nowMicros() + 20_000_000,
-                new RequestExchange.Answer() {
+                new ResponseHandler() {
                     @Override
-                    public void served(ByteBuf body) {
-                        told.add("served " + id + " " + body.toString(StandardCharsets.US_ASCII));
+                    public void onServed(ByteBuf body) {
+                        events.add("served " + id + " " + body.toString(StandardCharsets.US_ASCII));
                         body.release();
                     }
 
                     @Override
-                    public void refused(long retryAfterUs) {
-                        told.add("refused " + id);
+                    public void onRejected(long retryAfterMicros) {
+                        events.add("rejected " + id);
                     }
 
                     @Override
-                    public void failed() {
-                        told.add("failed " + id);
+                    public void onFailed() {
+                        events.add("failed " + id);
                     }
                 });
     }
 
-    private void await(String line) throws InterruptedException {
-        for (String t; (t = told.poll(20, TimeUnit.SECONDS)) != null; ) {
-            if (t.equals(line)) {
+    private void await(String expected) throws InterruptedException {
+        for (String event; (event = events.poll(20, TimeUnit.SECONDS)) != null; ) {
+            if (event.equals(expected)) {
                 return;
             }
         }
-        throw new AssertionError("never told: " + line);
+        throw new AssertionError("no event: " + expected);
     }
 
-    /** Whether its client left or the answer was given: what waits for its connection must not be sent any more. */
+    private void setEndpoint(String id, StubServer server) throws Exception {
+        String list = SidecarFixture.list(1, true, SidecarFixture.entry(id, server.address(), "Ready", 0));
+        loop.submit(() -> upstreams.updateEndpoints(
+                        EndpointList.parse(JsonObject.parse(list.getBytes(StandardCharsets.UTF_8)))))
+                .sync();
+    }
+
+    /** Whether its client disconnects or it has its response: an attempt that waits for a connection is not sent. */
     @Test
-    void whatWaitsForItsConnectionWhenItsRequestIsOverIsNeverSent() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", m.header("X-Txn")))) {
-            loop.submit(() -> upstreams.updateEndpoints(EndpointList.parse(JsonObject.parse(
-                            SidecarFixture.list(1, true, SidecarFixture.entry("u0", up.address(), "Ready", 0))
-                                    .getBytes(StandardCharsets.UTF_8)))))
-                    .sync();
-            for (String how : new String[] {"left", "refused", "failed"}) {
+    void anAttemptThatWaitsForItsConnectionIsNotSentOnceItsRequestIsCompleted() throws Exception {
+        try (StubServer server = new StubServer((m, line) -> line.answer("200 OK", "", m.header("X-Txn")))) {
+            setEndpoint("u0", server);
+            for (String end : new String[] {"disconnected", "rejected", "failed"}) {
                 loop.execute(() -> {
-                    RequestExchange x = exchange(how);
-                    requests.take(x);
-                    requests.sendAttempt(how, "u0", 0);
-                    switch (how) {
-                        case "left" -> requests.left(x);
-                        case "refused" -> requests.reject(how, 0);
-                        default -> requests.fail(how);
+                    RequestExchange exchange = exchange(end);
+                    dispatcher.dispatch(exchange);
+                    dispatcher.sendAttempt(end, "u0", 0);
+                    switch (end) {
+                        case "disconnected" -> dispatcher.clientDisconnected(exchange);
+                        case "rejected" -> dispatcher.reject(end, 0);
+                        default -> dispatcher.fail(end);
                     }
                 });
-                await("onAttemptOutcome " + how + " NOT_SENT true");
+                await("onAttemptOutcome " + end + " NOT_SENT true");
             }
-            assertEquals(0, loop.submit(requests::openRequests).get());
+            assertEquals(0, loop.submit(dispatcher::openRequests).get());
             loop.execute(() -> {
-                requests.take(exchange("next"));
-                requests.sendAttempt("next", "u0", 0);
+                dispatcher.dispatch(exchange("next"));
+                dispatcher.sendAttempt("next", "u0", 0);
             });
             await("served next next");
-            assertEquals(1, up.messages.size(), "a request was sent on for nobody");
+            assertEquals(1, server.messages.size(), "an attempt of a completed request was sent");
         }
     }
 
-    /** Who looks for a lost request finds its steps under its id. */
+    /** Whoever looks for a late request finds its attempts under its id. */
     @Test
-    void whatIsAnsweredLongAfterItsTimeTellsItsSteps() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> line.answer("500 No", "", ""))) {
-            loop.submit(() -> upstreams.updateEndpoints(EndpointList.parse(JsonObject.parse(
-                            SidecarFixture.list(1, true, SidecarFixture.entry("u0", up.address(), "Ready", 0))
-                                    .getBytes(StandardCharsets.UTF_8)))))
-                    .sync();
-            RequestExchange x = exchange("late");
+    void theLogLineOfALateResponseListsItsAttempts() throws Exception {
+        try (StubServer server = new StubServer((m, line) -> line.answer("500 No", "", ""))) {
+            setEndpoint("u0", server);
+            RequestExchange exchange = exchange("late");
             loop.execute(() -> {
-                requests.take(x);
-                requests.sendAttempt("late", "u0", 0);
+                dispatcher.dispatch(exchange);
+                dispatcher.sendAttempt("late", "u0", 0);
             });
             await("onAttemptOutcome late ERROR false");
-            String story = loop.submit(() -> x.story(x.deadlineUs + 250_000)).get();
+            String line = loop.submit(() -> exchange.describeLateResponse(exchange.deadlineMicros() + 250_000))
+                    .get();
             assertTrue(
-                    story.matches("late was over 250 ms after its time, \\d+ after it was taken:"
-                            + " u0 at \\d+ ERROR at \\d+"),
-                    story);
+                    line.matches("response_late request=late late_millis=250 elapsed_millis=\\d+ attempts=1"
+                            + " attempt=0 endpoint=u0 started_millis=\\d+ outcome=ERROR ended_millis=\\d+"),
+                    line);
         }
     }
 }
