--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -1,7 +1,6 @@
 package loadbalancer.proxy.client;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -15,43 +14,26 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.cookie.Cookie;
-import io.netty.handler.codec.http.cookie.ServerCookieDecoder;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.util.ArrayDeque;
-import java.util.List;
-import java.util.Map;
-import loadbalancer.decision.Request;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.protocol.HeaderNames;
 import loadbalancer.proxy.protocol.HeaderValues;
-import loadbalancer.settings.Idempotency;
-import loadbalancer.settings.RequestClass;
 
 /** One connection of the application: its requests in turn, each taken whole and answered once. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /**
-     * An answer leaves at least this long before its client gives up, so that it is there in time on a busy core; where
-     * the loop was later than that of late, so much longer, up to a quarter of the time that there is.
-     */
-    private static final long MARGIN_US = 15_000;
     /**
      * What may be sent ahead of its turn. Clients of the protocol send nothing ahead; who sends more than this gets its
      * answers and an end. Reading never stops: the leaving of a client that is not read goes unnoticed.
      */
     private static final int MOST_AHEAD_BYTES = 4 * HeaderNames.MAX_REQUEST_BODY_BYTES;
-    /** What a request takes beside its body. */
-    private static final int OVERHEAD_BYTES = 1024;
-
-    private static final int KEY_BITS = 53;
     /** Applications send at once what they send: a request not whole after this long is none. */
     private static final long WHOLE_US = 2_000_000;
     /** A connection may be closed once it was idle for 2 s; its client opens another where it needs one. */
@@ -61,9 +43,9 @@
     private final ReadTrackingEventLoop reads;
     private final MonotonicClock clock;
     private final RequestDispatcher requests;
-    private final Map<String, RequestClass> classes;
+    private final RequestExchangeFactory exchanges;
     private final ClientServer server;
-    private final ArrayDeque<Arrival> ahead = new ArrayDeque<>();
+    private final ArrayDeque<ReceivedRequest> ahead = new ArrayDeque<>();
     private int aheadBytes;
     /** When the request being read sent its first byte; 0 between requests. */
     private long readingSinceUs;
@@ -83,25 +65,18 @@
     /** The last answer is written: whatever was sent behind its request is no request. */
     private boolean closing;
 
-    /** {@code waitedUs} more may have passed since it was sent. */
-    private record Arrival(FullHttpRequest message, long sentUs, long waitedUs) {
-        int bytes() {
-            return OVERHEAD_BYTES + message.content().readableBytes();
-        }
-    }
-
     ClientConnection(
             Channel channel,
             ReadTrackingEventLoop reads,
             RequestDispatcher requests,
-            Map<String, RequestClass> classes,
+            RequestExchangeFactory exchanges,
             ClientServer server,
             long backlogUs) {
         this.channel = channel;
         this.reads = reads;
         clock = reads.clock();
         this.requests = requests;
-        this.classes = classes;
+        this.exchanges = exchanges;
         this.server = server;
         this.backlogUs = backlogUs;
         openedUs = clock.nowMicros();
@@ -141,10 +116,11 @@
         boolean there = !asked && activeUs - openedUs < ReadTrackingEventLoop.FRESH_US;
         asked = true;
         // Its time counts from its last byte, which came with this read, or earlier where the loop was late to read.
-        Arrival arrival = new Arrival((FullHttpRequest) message, activeUs - reads.lateMicros(), there ? backlogUs : 0);
+        ReceivedRequest arrival =
+                new ReceivedRequest((FullHttpRequest) message, activeUs - reads.lateMicros(), there ? backlogUs : 0);
         readingSinceUs = 0;
         ahead.add(arrival);
-        aheadBytes += arrival.bytes();
+        aheadBytes += arrival.sizeBytes();
         next();
         if (aheadBytes > MOST_AHEAD_BYTES) {
             end(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -161,8 +137,8 @@
 
     private void next() {
         while (!busy && !closing && !ahead.isEmpty() && channel.isActive()) {
-            Arrival arrival = ahead.poll();
-            aheadBytes -= arrival.bytes();
+            ReceivedRequest arrival = ahead.poll();
+            aheadBytes -= arrival.sizeBytes();
             busy = true;
             spare(false);
             try {
@@ -170,10 +146,10 @@
             } catch (RuntimeException e) {
                 SidecarLog.error("a handler failed", e);
                 if (busy) {
-                    answer(arrival.message, HttpResponseStatus.INTERNAL_SERVER_ERROR);
+                    answer(arrival.message(), HttpResponseStatus.INTERNAL_SERVER_ERROR);
                 }
             } finally {
-                arrival.message.release();
+                arrival.message().release();
             }
         }
         if (!busy && !closing && last != null && channel.isActive()) {
@@ -182,47 +158,25 @@
         }
     }
 
-    private void handle(Arrival arrival) {
-        FullHttpRequest m = arrival.message;
+    private void handle(ReceivedRequest arrival) {
+        FullHttpRequest m = arrival.message();
         String path = HeaderValues.path(m.uri());
         if (path.equals("/health/ready") && m.method().equals(HttpMethod.GET)) {
             answer(m, server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
         } else if (!path.equals("/api") && !path.startsWith("/api/")) {
             answer(m, HttpResponseStatus.NOT_FOUND);
         } else {
-            take(arrival);
+            dispatch(arrival);
         }
     }
 
-    private void take(Arrival arrival) {
-        FullHttpRequest m = arrival.message;
-        HttpHeaders h = m.headers();
-        String id = word(h, HeaderNames.REQUEST_ID);
-        RequestClass lane = classes.get(word(h, HeaderNames.REQUEST_CLASS));
-        long remainingMs = HeaderValues.parseWholeNumber(word(h, HeaderNames.REMAINING_MILLIS));
-        if (id.isEmpty() || requests.isOpen(id) || lane == null || remainingMs <= 0 || !fits(m, lane)) {
-            // What no upstream could use is said here: there it would look like the upstream's own failure.
+    private void dispatch(ReceivedRequest received) {
+        try {
+            current = exchanges.create(received, responseHandler(HttpUtil.isKeepAlive(received.message())));
+        } catch (InvalidRequestException e) {
             write(false, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER, 0);
             return;
         }
-        // Nobody waits longer than the class allows; believed, a longer time would hold its request for days.
-        long remainingUs = Math.min(remainingMs * 1000, lane.deadlineMicros());
-        long marginUs = Math.min(Math.max(MARGIN_US, reads.recentLagMicros()), remainingUs / 4);
-        // Not known but at most: half of its time is believed all the same.
-        long sentUs = arrival.sentUs - Math.min(arrival.waitedUs, remainingUs / 2);
-        long deadline = Math.min(server.answerByUs(), sentUs + remainingUs - marginUs);
-        Request request = new Request(
-                id,
-                key(h.get(HttpHeaderNames.COOKIE)),
-                "1".equals(h.get(HeaderNames.RETRY)),
-                false,
-                Math.max(0, HeaderValues.parseWholeNumber(word(h, HeaderNames.COST_HINT))),
-                Math.max(1, deadline - clock.nowMicros()),
-                h.get(HeaderNames.TENANT),
-                lane.name());
-        RequestPayload payload = new RequestPayload(
-                m.method(), m.uri(), h.get(HeaderNames.IDEMPOTENCY_KEY), ByteBufUtil.getBytes(m.content()));
-        current = new RequestExchange(request, payload, deadline, responseHandler(HttpUtil.isKeepAlive(m)));
         server.taken();
         requests.dispatch(current);
     }
@@ -246,38 +200,6 @@
         };
     }
 
-    /** The one value of a header; empty where there is none, or where several or odd ones could be read two ways. */
-    private static String word(HttpHeaders h, String name) {
-        List<String> values = h.getAll(name);
-        return values.size() == 1 && HeaderValues.isToken(values.get(0)) ? values.get(0) : "";
-    }
-
-    /** The method follows from the class, and so does whether there is a key. */
-    private static boolean fits(FullHttpRequest m, RequestClass lane) {
-        boolean safe = lane.idempotency() == Idempotency.IDEMPOTENT;
-        boolean keyed = lane.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
-        List<String> keys = m.headers().getAll(HeaderNames.IDEMPOTENCY_KEY);
-        boolean keyFits = keys.isEmpty()
-                ? !keyed
-                : !word(m.headers(), HeaderNames.IDEMPOTENCY_KEY).isEmpty();
-        return m.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)
-                && !(safe && m.content().isReadable())
-                && keyFits
-                && HeaderValues.isRequestTarget(m.uri())
-                && m.protocolVersion().majorVersion() == 1;
-    }
-
-    private static long key(String cookies) {
-        if (cookies != null) {
-            for (Cookie c : ServerCookieDecoder.LAX.decode(cookies)) {
-                if (c.name().equals(HeaderNames.ROUTING_KEY_COOKIE)) {
-                    return HeaderValues.parseHexOrHash(c.value()) & (1L << KEY_BITS) - 1;
-                }
-            }
-        }
-        return -1;
-    }
-
     private void answer(FullHttpRequest to, HttpResponseStatus status) {
         write(HttpUtil.isKeepAlive(to), status, Unpooled.EMPTY_BUFFER, 0);
     }
@@ -364,8 +286,8 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         spare(false);
-        for (Arrival a; (a = ahead.poll()) != null; ) {
-            a.message.release();
+        for (ReceivedRequest a; (a = ahead.poll()) != null; ) {
+            a.message().release();
         }
         if (current != null) {
             RequestExchange gone = current;
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -11,10 +11,8 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.net.InetSocketAddress;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
@@ -52,7 +50,8 @@
     private final EventLoop loop;
     private final RequestDispatcher requests;
     private final MonotonicClock clock;
-    private final Map<String, RequestClass> classes = new HashMap<>();
+    private final RequestClasses classes;
+    private final RequestExchangeFactory exchanges;
     private final BooleanSupplier canServe;
     private final int maxConnections;
     /** Whether the descriptors suffice for one more connection. */
@@ -61,9 +60,6 @@
     private final int maxSpare;
 
     private final TrafficStatistics totals;
-    /** No client waits longer than this for an answer. */
-    private long longestUs;
-
     private final Set<ClientConnection> connections = new HashSet<>();
     private final AcceptBacklog backlog;
     private Channel listener;
@@ -91,7 +87,8 @@
         backlog = new AcceptBacklog(reads);
         clock = reads.clock();
         this.requests = requests;
-        updateRequestClasses(classes);
+        this.classes = new RequestClasses(classes);
+        exchanges = new RequestExchangeFactory(reads, new RequestParser(this.classes), requests, this::answerByUs);
         this.canServe = canServe;
         this.maxConnections = maxConnections;
         this.roomForMore = roomForMore;
@@ -103,9 +100,7 @@
      * Requests whose first attempt or answer is still to come keep the class, and the deadline, they were taken with.
      */
     public void updateRequestClasses(List<RequestClass> known) {
-        classes.clear();
-        known.forEach(c -> classes.put(c.name(), c));
-        longestUs = known.stream().mapToLong(RequestClass::deadlineMicros).max().orElse(0);
+        classes.replaceAll(known);
     }
 
     /** How many connections the application holds. */
@@ -172,7 +167,8 @@
         ChannelConfig accepting = channel.parent().config();
         acceptedUs = clock.nowMicros();
         requests.failOverdueRequests();
-        ClientConnection connection = new ClientConnection(channel, reads, requests, classes, this, backlog.waitedUs());
+        ClientConnection connection =
+                new ClientConnection(channel, reads, requests, exchanges, this, backlog.waitedUs());
         connections.add(connection);
         totals.clientConnectionAccepted();
         if (connections.size() >= maxConnections) {
@@ -236,7 +232,7 @@
     public void shutDownGracefully(Runnable stopped) {
         long now = clock.nowMicros();
         stopAtUs = now + SERVE_ON_MS * 1000;
-        answerByUs = now + KILL_MS * 1000 + Math.min(KILL_MOST_MS * 1000, longestUs);
+        answerByUs = now + KILL_MS * 1000 + Math.min(KILL_MOST_MS * 1000, classes.longestDeadlineMicros());
         SidecarLog.info("a stop was asked for: " + connections.size() + " clients' connections");
         look(stopped);
     }
@@ -270,7 +266,7 @@
                 SidecarLog.info("listens no more: " + connections.size() + " clients' connections");
             }
             for (ClientConnection c : Set.copyOf(connections)) {
-                c.closeIfQuiet(now - QUIET_MS * 1000, now - longestUs);
+                c.closeIfQuiet(now - QUIET_MS * 1000, now - classes.longestDeadlineMicros());
             }
         }
         return now >= stopAtUs && connections.isEmpty() && !listener.isOpen();
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/client/RequestParser.java
@@ -0,0 +1,127 @@
+package loadbalancer.proxy.client;
+
+import io.netty.buffer.ByteBufUtil;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.cookie.Cookie;
+import io.netty.handler.codec.http.cookie.ServerCookieDecoder;
+import java.util.List;
+import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.HeaderValues;
+import loadbalancer.settings.Idempotency;
+import loadbalancer.settings.RequestClass;
+
+/**
+ * Checks the headers of an aggregated request against the protocol and reads them. A request that no endpoint could use
+ * is rejected here: forwarded, it would look like the endpoint's own failure. Confined to the event loop; does not
+ * change or release the message.
+ */
+final class RequestParser {
+    private static final int ROUTING_KEY_BITS = 53;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final String RETRY_VALUE = "1";
+
+    private final RequestClasses classes;
+
+    RequestParser(RequestClasses classes) {
+        this.classes = classes;
+    }
+
+    ParsedRequest parse(FullHttpRequest message) throws InvalidRequestException {
+        HttpHeaders headers = message.headers();
+        String id = requireId(headers);
+        RequestClass requestClass = requireClass(headers);
+        long remainingMicros = requireRemainingMicros(headers);
+        checkMethod(message, requestClass);
+        checkIdempotencyKey(headers, requestClass);
+        checkRequestLine(message);
+        return new ParsedRequest(
+                id,
+                requestClass,
+                headers.get(HeaderNames.TENANT),
+                routingKey(headers),
+                RETRY_VALUE.equals(headers.get(HeaderNames.RETRY)),
+                Math.max(0, HeaderValues.parseWholeNumber(singleToken(headers, HeaderNames.COST_HINT))),
+                // A longer time than the class allows would hold the request for as long.
+                Math.min(remainingMicros, requestClass.deadlineMicros()),
+                payload(message));
+    }
+
+    /** Returns the request's id; empty where it has none that is valid. */
+    static String requestId(FullHttpRequest message) {
+        return singleToken(message.headers(), HeaderNames.REQUEST_ID);
+    }
+
+    private static String requireId(HttpHeaders headers) throws InvalidRequestException {
+        String id = singleToken(headers, HeaderNames.REQUEST_ID);
+        check(!id.isEmpty(), "one request id expected in " + HeaderNames.REQUEST_ID);
+        return id;
+    }
+
+    private RequestClass requireClass(HttpHeaders headers) throws InvalidRequestException {
+        RequestClass requestClass = classes.get(singleToken(headers, HeaderNames.REQUEST_CLASS));
+        check(requestClass != null, "the name of a known class expected in " + HeaderNames.REQUEST_CLASS);
+        return requestClass;
+    }
+
+    private static long requireRemainingMicros(HttpHeaders headers) throws InvalidRequestException {
+        long remainingMillis = HeaderValues.parseWholeNumber(singleToken(headers, HeaderNames.REMAINING_MILLIS));
+        check(remainingMillis > 0, "whole milliseconds above 0 expected in " + HeaderNames.REMAINING_MILLIS);
+        return remainingMillis * MICROS_PER_MILLI;
+    }
+
+    /** The method follows from the class. */
+    private static void checkMethod(FullHttpRequest message, RequestClass requestClass) throws InvalidRequestException {
+        boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        HttpMethod expected = idempotent ? HttpMethod.GET : HttpMethod.POST;
+        check(message.method().equals(expected), "GET expected for an idempotent class, POST for any other");
+        check(!idempotent || !message.content().isReadable(), "no body expected for an idempotent class");
+    }
+
+    private static void checkIdempotencyKey(HttpHeaders headers, RequestClass requestClass)
+            throws InvalidRequestException {
+        boolean required = requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
+        boolean present = headers.contains(HeaderNames.IDEMPOTENCY_KEY);
+        boolean valid = !singleToken(headers, HeaderNames.IDEMPOTENCY_KEY).isEmpty();
+        check(present ? valid : !required, "one key expected in " + HeaderNames.IDEMPOTENCY_KEY);
+    }
+
+    private static void checkRequestLine(FullHttpRequest message) throws InvalidRequestException {
+        check(HeaderValues.isRequestTarget(message.uri()), "a path of visible ASCII characters expected");
+        check(message.protocolVersion().majorVersion() == 1, "HTTP/1.x expected");
+    }
+
+    private static void check(boolean valid, String expectation) throws InvalidRequestException {
+        if (!valid) {
+            throw new InvalidRequestException(expectation);
+        }
+    }
+
+    /** The only value of a header; empty where it is missing, repeated or no token: it could be read in two ways. */
+    private static String singleToken(HttpHeaders headers, String name) {
+        List<String> values = headers.getAll(name);
+        return values.size() == 1 && HeaderValues.isToken(values.get(0)) ? values.get(0) : "";
+    }
+
+    private static long routingKey(HttpHeaders headers) {
+        String cookies = headers.get(HttpHeaderNames.COOKIE);
+        if (cookies != null) {
+            for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
+                if (cookie.name().equals(HeaderNames.ROUTING_KEY_COOKIE)) {
+                    return HeaderValues.parseHexOrHash(cookie.value()) & (1L << ROUTING_KEY_BITS) - 1;
+                }
+            }
+        }
+        return ParsedRequest.NO_ROUTING_KEY;
+    }
+
+    private static RequestPayload payload(FullHttpRequest message) {
+        return new RequestPayload(
+                message.method(),
+                message.uri(),
+                message.headers().get(HeaderNames.IDEMPOTENCY_KEY),
+                ByteBufUtil.getBytes(message.content()));
+    }
+}
