--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -1,280 +1,289 @@
 package loadbalancer.proxy.client;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandler;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.CodecException;
 import io.netty.handler.codec.TooLongFrameException;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
-import java.util.ArrayDeque;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.SidecarLog;
-import loadbalancer.proxy.protocol.HeaderNames;
 import loadbalancer.proxy.protocol.HeaderValues;
 
-/** One connection of the application: its requests in turn, each taken whole and answered once. */
+/**
+ * One connection of a client: handles its requests one after the other and writes one response for each, in the order
+ * of the requests. The last handler of the connection's pipeline; confined to the event loop.
+ *
+ * <p>Input that cannot be read as a request gets an error response after the responses that are still pending, and the
+ * connection closes. A client that closes the connection, or only its sending side, has disconnected: its request ends
+ * without a response.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /**
-     * What may be sent ahead of its turn. Clients of the protocol send nothing ahead; who sends more than this gets its
-     * answers and an end. Reading never stops: the leaving of a client that is not read goes unnoticed.
-     */
-    private static final int MOST_AHEAD_BYTES = 4 * HeaderNames.MAX_REQUEST_BODY_BYTES;
-    /** Applications send at once what they send: a request not whole after this long is none. */
-    private static final long WHOLE_US = 2_000_000;
-    /** A connection may be closed once it was idle for 2 s; its client opens another where it needs one. */
-    private static final long IDLE_US = 4_000_000;
+    private static final String READINESS_PATH = "/health/ready";
+    private static final String API_PATH = "/api";
+    private static final String API_PATH_PREFIX = "/api/";
+
+    private enum State {
+        AWAITING_REQUEST,
+        /** A request is being handled and has no response yet. */
+        RESPONSE_PENDING,
+        /** The last response is written; whatever the client sends is ignored. */
+        CLOSING
+    }
 
     private final Channel channel;
     private final ReadTrackingEventLoop reads;
     private final MonotonicClock clock;
-    private final RequestDispatcher requests;
-    private final RequestExchangeFactory exchanges;
+    private final RequestDispatcher dispatcher;
+    private final RequestExchangeFactory exchangeFactory;
     private final ClientServer server;
-    private final ArrayDeque<ReceivedRequest> ahead = new ArrayDeque<>();
-    private int aheadBytes;
-    /** When the request being read sent its first byte; 0 between requests. */
-    private long readingSinceUs;
-
-    private long activeUs;
-    private RequestExchange current;
-    private boolean busy;
-    private boolean asked;
-    /** Open between requests, and counted as such. */
-    private boolean spare;
-
-    private final long openedUs;
-    /** How long it may have waited to be accepted, and with it the request that was there by then. */
-    private final long backlogUs;
-    /** What to say after the answers that are owed, before the end; nothing behind it is read. Null: goes on. */
-    private HttpResponseStatus last;
-    /** The last answer is written: whatever was sent behind its request is no request. */
-    private boolean closing;
+    private final ConnectionActivity activity;
+    private final PipelinedRequests pipelinedRequests = new PipelinedRequests();
+    private State state = State.AWAITING_REQUEST;
+    /** The dispatched request without a response; null where there is none. */
+    private RequestExchange currentExchange;
+    /** Whether the server counts the connection as kept open between requests. */
+    private boolean countedAsIdle;
+    /** The error to respond with after all pending responses, before closing; null while the input is valid. */
+    private HttpResponseStatus inputError;
 
+    /** {@code backlogWaitMicros} is how long the connection waited, at most, to be accepted. */
     ClientConnection(
             Channel channel,
             ReadTrackingEventLoop reads,
-            RequestDispatcher requests,
-            RequestExchangeFactory exchanges,
+            RequestDispatcher dispatcher,
+            RequestExchangeFactory exchangeFactory,
             ClientServer server,
-            long backlogUs) {
+            long backlogWaitMicros) {
         this.channel = channel;
         this.reads = reads;
         clock = reads.clock();
-        this.requests = requests;
-        this.exchanges = exchanges;
+        this.dispatcher = dispatcher;
+        this.exchangeFactory = exchangeFactory;
         this.server = server;
-        this.backlogUs = backlogUs;
-        openedUs = clock.nowMicros();
-        activeUs = openedUs;
+        activity = new ConnectionActivity(clock.nowMicros(), backlogWaitMicros);
     }
 
-    /** Stands before the decoder: half a request is no quiet, and what does not come whole in time is given up. */
-    ChannelInboundHandler arrivals() {
-        return new ChannelInboundHandlerAdapter() {
-            @Override
-            public void channelRead(ChannelHandlerContext ctx, Object message) {
-                if (last != null || closing) {
-                    // Read all the same, for its end is to be noticed.
-                    ReferenceCountUtil.release(message);
-                    return;
-                }
-                activeUs = clock.nowMicros();
-                if (readingSinceUs == 0) {
-                    readingSinceUs = activeUs;
-                }
-                ctx.fireChannelRead(message);
-            }
-        };
+    void addHandlers() {
+        channel.pipeline()
+                .addLast(
+                        new ReceivedBytesHandler(this),
+                        new RequestDecoder(),
+                        new HttpResponseEncoder(),
+                        new RequestAggregator(this::hasPendingResponse),
+                        this);
+    }
+
+    boolean acceptsRequests() {
+        return inputError == null && state != State.CLOSING;
+    }
+
+    void bytesReceived() {
+        activity.bytesReceived(clock.nowMicros());
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (last != null || closing) {
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        if (!acceptsRequests()) {
             ReferenceCountUtil.release(message);
             return;
         }
-        if (!((FullHttpRequest) message).decoderResult().isSuccess()) {
-            ReferenceCountUtil.release(message);
-            end(HttpResponseStatus.BAD_REQUEST);
+        FullHttpRequest request = (FullHttpRequest) message;
+        if (!request.decoderResult().isSuccess()) {
+            request.release();
+            endInput(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        boolean there = !asked && activeUs - openedUs < ReadTrackingEventLoop.FRESH_US;
-        asked = true;
-        // Its time counts from its last byte, which came with this read, or earlier where the loop was late to read.
-        ReceivedRequest arrival =
-                new ReceivedRequest((FullHttpRequest) message, activeUs - reads.lateMicros(), there ? backlogUs : 0);
-        readingSinceUs = 0;
-        ahead.add(arrival);
-        aheadBytes += arrival.sizeBytes();
-        next();
-        if (aheadBytes > MOST_AHEAD_BYTES) {
-            end(HttpResponseStatus.SERVICE_UNAVAILABLE);
+        // A late event loop reads bytes later than they came.
+        long sentMicros = activity.lastActivityMicros() - reads.lateMicros();
+        pipelinedRequests.add(new ReceivedRequest(request, sentMicros, activity.requestBacklogWaitMicros()));
+        activity.requestReceived();
+        handlePipelinedRequests();
+        if (pipelinedRequests.exceedsLimit()) {
+            endInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
     }
 
-    /** Answers what is owed, says {@code status} and closes: what else comes can't be told from noise. */
-    private void end(HttpResponseStatus status) {
-        if (last == null) {
-            last = status;
-            next();
+    /** Accepts no further input; the error is written after the pending responses, and the connection closes. */
+    private void endInput(HttpResponseStatus error) {
+        if (inputError == null) {
+            inputError = error;
+            handlePipelinedRequests();
         }
     }
 
-    private void next() {
-        while (!busy && !closing && !ahead.isEmpty() && channel.isActive()) {
-            ReceivedRequest arrival = ahead.poll();
-            aheadBytes -= arrival.sizeBytes();
-            busy = true;
-            spare(false);
-            try {
-                handle(arrival);
-            } catch (RuntimeException e) {
-                SidecarLog.error("a handler failed", e);
-                if (busy) {
-                    answer(arrival.message(), HttpResponseStatus.INTERNAL_SERVER_ERROR);
-                }
-            } finally {
-                arrival.message().release();
-            }
+    private void handlePipelinedRequests() {
+        while (canRespondToNext() && !pipelinedRequests.isEmpty()) {
+            handle(pipelinedRequests.poll());
         }
-        if (!busy && !closing && last != null && channel.isActive()) {
-            busy = true;
-            write(false, last, Unpooled.EMPTY_BUFFER, 0);
+        if (canRespondToNext() && inputError != null) {
+            state = State.RESPONSE_PENDING;
+            write(ClientResponse.withoutBody(inputError), ConnectionReuse.CLOSE);
         }
     }
 
-    private void handle(ReceivedRequest arrival) {
-        FullHttpRequest m = arrival.message();
-        String path = HeaderValues.path(m.uri());
-        if (path.equals("/health/ready") && m.method().equals(HttpMethod.GET)) {
-            answer(m, server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
-        } else if (!path.equals("/api") && !path.startsWith("/api/")) {
-            answer(m, HttpResponseStatus.NOT_FOUND);
+    private boolean canRespondToNext() {
+        return state == State.AWAITING_REQUEST && channel.isActive();
+    }
+
+    private void handle(ReceivedRequest received) {
+        FullHttpRequest message = received.message();
+        state = State.RESPONSE_PENDING;
+        countAsBusy();
+        try {
+            route(received);
+        } catch (RuntimeException e) {
+            SidecarLog.error("request_handler_failed request=" + RequestParser.requestId(message), e);
+            if (state == State.RESPONSE_PENDING) {
+                write(ClientResponse.withoutBody(HttpResponseStatus.INTERNAL_SERVER_ERROR), requestedReuse(message));
+            }
+        } finally {
+            message.release();
+        }
+    }
+
+    private void route(ReceivedRequest received) {
+        FullHttpRequest message = received.message();
+        String path = HeaderValues.path(message.uri());
+        if (path.equals(READINESS_PATH) && message.method().equals(HttpMethod.GET)) {
+            HttpResponseStatus status =
+                    server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+            write(ClientResponse.withoutBody(status), requestedReuse(message));
+        } else if (path.equals(API_PATH) || path.startsWith(API_PATH_PREFIX)) {
+            dispatch(received);
         } else {
-            dispatch(arrival);
+            write(ClientResponse.withoutBody(HttpResponseStatus.NOT_FOUND), requestedReuse(message));
         }
     }
 
     private void dispatch(ReceivedRequest received) {
         try {
-            current = exchanges.create(received, responseHandler(HttpUtil.isKeepAlive(received.message())));
+            currentExchange = exchangeFactory.create(received, new ResponseWriter(requestedReuse(received.message())));
         } catch (InvalidRequestException e) {
-            write(false, HttpResponseStatus.BAD_REQUEST, Unpooled.EMPTY_BUFFER, 0);
+            write(ClientResponse.withoutBody(HttpResponseStatus.BAD_REQUEST), ConnectionReuse.CLOSE);
             return;
         }
-        server.taken();
-        requests.dispatch(current);
+        server.requestAccepted();
+        dispatcher.dispatch(currentExchange);
     }
 
-    private ResponseHandler responseHandler(boolean keepAlive) {
-        return new ResponseHandler() {
-            @Override
-            public void onServed(ByteBuf body) {
-                write(keepAlive, HttpResponseStatus.OK, body, 0);
-            }
+    private static ConnectionReuse requestedReuse(FullHttpRequest message) {
+        return HttpUtil.isKeepAlive(message) ? ConnectionReuse.KEEP_ALIVE : ConnectionReuse.CLOSE;
+    }
 
-            @Override
-            public void onRejected(long retryAfterMicros) {
-                write(keepAlive, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfterMicros);
-            }
+    /** Writes the final response to the request that is being handled. */
+    private final class ResponseWriter implements ResponseHandler {
+        private final ConnectionReuse requestedReuse;
 
-            @Override
-            public void onFailed() {
-                write(keepAlive, HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
-            }
-        };
-    }
+        ResponseWriter(ConnectionReuse requestedReuse) {
+            this.requestedReuse = requestedReuse;
+        }
 
-    private void answer(FullHttpRequest to, HttpResponseStatus status) {
-        write(HttpUtil.isKeepAlive(to), status, Unpooled.EMPTY_BUFFER, 0);
-    }
+        @Override
+        public void onServed(ByteBuf body) {
+            write(ClientResponse.served(body), requestedReuse);
+        }
 
-    private void write(boolean keepAlive, HttpResponseStatus status, ByteBuf body, long retryAfterUs) {
-        // What was sent ahead is owed an answer: only between requests is a connection given up.
-        boolean stays = keepAlive && (ahead.isEmpty() ? server.keepsOneMore() : !server.stopping());
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        if (!stays) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        @Override
+        public void onRejected(long retryAfterMicros) {
+            write(ClientResponse.rejected(retryAfterMicros), requestedReuse);
         }
-        if (retryAfterUs > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, HeaderValues.formatSeconds(retryAfterUs));
+
+        @Override
+        public void onFailed() {
+            write(ClientResponse.withoutBody(HttpResponseStatus.BAD_GATEWAY), requestedReuse);
         }
-        current = null;
-        busy = false;
-        activeUs = clock.nowMicros();
-        var written = channel.writeAndFlush(response);
-        if (stays) {
-            spare(true);
-            if (!ahead.isEmpty() || last != null) {
-                // Not from within: an answer may come while the one before is still being handled.
-                channel.eventLoop().execute(this::next);
-            }
-        } else {
-            closing = true;
+    }
+
+    /** Keeps the connection open only where the client wants that and the server has room for one more. */
+    private void write(ClientResponse response, ConnectionReuse requestedReuse) {
+        boolean keepAlive = requestedReuse == ConnectionReuse.KEEP_ALIVE && serverAllowsReuse();
+        currentExchange = null;
+        state = keepAlive ? State.AWAITING_REQUEST : State.CLOSING;
+        activity.responseWritten(clock.nowMicros());
+        ChannelFuture written = channel.writeAndFlush(
+                response.toHttpResponse(keepAlive ? ConnectionReuse.KEEP_ALIVE : ConnectionReuse.CLOSE));
+        if (!keepAlive) {
             written.addListener(ChannelFutureListener.CLOSE);
+            return;
+        }
+        countAsIdle();
+        if (!pipelinedRequests.isEmpty() || inputError != null) {
+            // In a task of its own: this response may be written while its request is still being handled.
+            channel.eventLoop().execute(this::handlePipelinedRequests);
+        }
+    }
+
+    /** Pipelined requests still need their responses: only between requests is a connection given up for room. */
+    private boolean serverAllowsReuse() {
+        return pipelinedRequests.isEmpty() ? server.mayKeepIdleConnection() : !server.isShuttingDown();
+    }
+
+    private void countAsIdle() {
+        if (!countedAsIdle && channel.isActive()) {
+            countedAsIdle = true;
+            server.idleConnectionAdded();
         }
     }
 
-    private void spare(boolean now) {
-        if (spare != now && (channel.isActive() || !now)) {
-            spare = now;
-            server.spare(now ? 1 : -1);
+    private void countAsBusy() {
+        if (countedAsIdle) {
+            countedAsIdle = false;
+            server.idleConnectionRemoved();
         }
     }
 
-    /** Between requests: nothing is held, and no part of the next one has come. */
-    boolean quiet() {
-        return nothingOwed() && readingSinceUs == 0;
+    boolean hasPendingResponse() {
+        return state == State.RESPONSE_PENDING || !pipelinedRequests.isEmpty();
+    }
+
+    /** Whether no response is pending and no part of a request has been read. */
+    private boolean isBetweenRequests() {
+        return !hasPendingResponse() && !activity.isReceivingRequest();
     }
 
-    boolean nothingOwed() {
-        return !busy && ahead.isEmpty();
+    boolean hasReceivedRequest() {
+        return activity.hasReceivedRequest();
     }
 
-    boolean hasAsked() {
-        return asked;
+    long lastActivityMicros() {
+        return activity.lastActivityMicros();
     }
 
-    /** For how long nothing has been owed and nothing has come; 0 while something is. */
-    long idleFor(long now) {
-        return quiet() && last == null ? now - activeUs : 0;
+    /** How long the connection has been between requests, in microseconds; 0 where it is not. */
+    long idleMicros(long nowMicros) {
+        return isBetweenRequests() && inputError == null ? nowMicros - activity.lastActivityMicros() : 0;
     }
 
-    /** What has not come whole in good time is given up with a word, and who has nothing to say without one. */
-    void expire(long now) {
-        if (!nothingOwed()) {
+    /** Responds 408 to a request that is not complete in time; closes a connection that is idle for too long. */
+    void closeIfStalled(long nowMicros) {
+        if (hasPendingResponse()) {
             return;
         }
-        if (readingSinceUs > 0 && now - (asked ? readingSinceUs : openedUs) > WHOLE_US) {
-            end(HttpResponseStatus.REQUEST_TIMEOUT);
-        } else if (idleFor(now) > (asked ? IDLE_US : WHOLE_US)) {
+        if (activity.isRequestTimedOut(nowMicros)) {
+            endInput(HttpResponseStatus.REQUEST_TIMEOUT);
+        } else if (inputError == null && activity.isIdleTimedOut(nowMicros)) {
             close();
         }
     }
 
-    long activeUs() {
-        return activeUs;
-    }
-
-    /** Half a request is waited for as long as its client may still wait for the answer, not for ever. */
-    void closeIfQuiet(long sinceUs, long halfSinceUs) {
-        if (activeUs < (quiet() ? sinceUs : halfSinceUs) && nothingOwed()) {
+    /**
+     * Closes the connection where no response is pending and it was last active before {@code idleSinceMicros}, or, in
+     * the middle of a request, before {@code receivingSinceMicros}.
+     */
+    void closeIfInactive(long idleSinceMicros, long receivingSinceMicros) {
+        long sinceMicros = isBetweenRequests() ? idleSinceMicros : receivingSinceMicros;
+        if (!hasPendingResponse() && activity.lastActivityMicros() < sinceMicros) {
             close();
         }
     }
@@ -284,30 +293,28 @@
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        spare(false);
-        for (ReceivedRequest a; (a = ahead.poll()) != null; ) {
-            a.message().release();
-        }
-        if (current != null) {
-            RequestExchange gone = current;
-            current = null;
-            requests.clientDisconnected(gone);
+    public void channelInactive(ChannelHandlerContext context) {
+        countAsBusy();
+        pipelinedRequests.clear();
+        if (currentExchange != null) {
+            RequestExchange disconnected = currentExchange;
+            currentExchange = null;
+            dispatcher.clientDisconnected(disconnected);
         }
     }
 
-    /** Noise, a body without end, half a request and a close: for each a word where it can still be said. */
+    /** Also receives the errors of the decoder and of the aggregator. */
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            end(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            endInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (cause instanceof CodecException) {
-            end(HttpResponseStatus.BAD_REQUEST);
+            endInput(HttpResponseStatus.BAD_REQUEST);
         } else {
             if (!(cause instanceof IOException)) {
-                SidecarLog.error("a client's connection failed", cause);
+                SidecarLog.error("client_connection_failed", cause);
             }
-            ctx.close();
+            context.close();
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -8,7 +8,6 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.net.InetSocketAddress;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -144,7 +143,7 @@
     }
 
     /** A request was taken: there is no time for a rehearsal any more. */
-    void taken() {
+    void requestAccepted() {
         if (rehearsal != null) {
             rehearsal.run();
         }
@@ -154,12 +153,16 @@
      * Whether one more connection may stay open for the next request. An application that does not use again what it
      * keeps would run out of connections while hardly any of them is busy.
      */
-    boolean keepsOneMore() {
-        return !stopping() && spare < maxSpare;
+    boolean mayKeepIdleConnection() {
+        return !isShuttingDown() && spare < maxSpare;
     }
 
-    void spare(int more) {
-        spare += more;
+    void idleConnectionAdded() {
+        spare++;
+    }
+
+    void idleConnectionRemoved() {
+        spare--;
     }
 
     private void accepted(Channel channel) {
@@ -180,25 +183,20 @@
             connections.remove(connection);
             backlog.accept(accepting, takesOneMore());
         });
-        channel.pipeline()
-                .addLast(
-                        connection.arrivals(),
-                        new RequestDecoder(),
-                        new HttpResponseEncoder(),
-                        new RequestAggregator(connection::nothingOwed),
-                        connection);
+        connection.addHandlers();
     }
 
     /** Where it stops, none comes that could use up more than its part: what waits in the backlog is the last. */
     private boolean takesOneMore() {
-        return (stopping() || connections.size() < maxConnections) && roomForMore.getAsBoolean();
+        return (isShuttingDown() || connections.size() < maxConnections) && roomForMore.getAsBoolean();
     }
 
     /** One between requests goes: first who has never asked, then who asked longest ago. Neither right after coming. */
     private void makeRoom(long now) {
         Optional<ClientConnection> idle = connections.stream()
-                .filter(c -> c.idleFor(now) > FRESH_US)
-                .min(Comparator.comparing(ClientConnection::hasAsked).thenComparing(ClientConnection::activeUs));
+                .filter(c -> c.idleMicros(now) > FRESH_US)
+                .min(Comparator.comparing(ClientConnection::hasReceivedRequest)
+                        .thenComparing(ClientConnection::lastActivityMicros));
         idle.ifPresent(ClientConnection::close);
     }
 
@@ -208,7 +206,7 @@
      */
     public void closeStalledConnections() {
         long now = clock.nowMicros();
-        List.copyOf(connections).forEach(c -> c.expire(now));
+        List.copyOf(connections).forEach(c -> c.closeIfStalled(now));
         if (connections.size() >= maxConnections) {
             makeRoom(now);
         }
@@ -216,11 +214,11 @@
         backlog.accept(listener.config(), takesOneMore());
     }
 
-    boolean ready() {
-        return !stopping() && rehearsal == null && canServe.getAsBoolean();
+    boolean isReady() {
+        return !isShuttingDown() && rehearsal == null && canServe.getAsBoolean();
     }
 
-    boolean stopping() {
+    boolean isShuttingDown() {
         return stopAtUs > 0;
     }
 
@@ -266,7 +264,7 @@
                 SidecarLog.info("listens no more: " + connections.size() + " clients' connections");
             }
             for (ClientConnection c : Set.copyOf(connections)) {
-                c.closeIfQuiet(now - QUIET_MS * 1000, now - classes.longestDeadlineMicros());
+                c.closeIfInactive(now - QUIET_MS * 1000, now - classes.longestDeadlineMicros());
             }
         }
         return now >= stopAtUs && connections.isEmpty() && !listener.isOpen();
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
@@ -0,0 +1,48 @@
+package loadbalancer.proxy.client;
+
+import java.util.ArrayDeque;
+import loadbalancer.proxy.protocol.HeaderNames;
+
+/**
+ * Requests of one connection that are received but not yet handled, in the order of their receipt. Owns their messages
+ * until {@link #poll} hands one over. Confined to the event loop.
+ */
+final class PipelinedRequests {
+    /**
+     * How much a client may pipeline. Clients of the protocol do not pipeline at all. The bound is not kept by pausing
+     * reads, because the disconnection of a client that is not read goes unnoticed.
+     */
+    private static final int MAX_BYTES = 4 * HeaderNames.MAX_REQUEST_BODY_BYTES;
+
+    private final ArrayDeque<ReceivedRequest> requests = new ArrayDeque<>();
+    private int sizeBytes;
+
+    void add(ReceivedRequest request) {
+        requests.add(request);
+        sizeBytes += request.sizeBytes();
+    }
+
+    /** Returns the next request, whose message the caller has to release; null where there is none. */
+    ReceivedRequest poll() {
+        ReceivedRequest request = requests.poll();
+        if (request != null) {
+            sizeBytes -= request.sizeBytes();
+        }
+        return request;
+    }
+
+    boolean isEmpty() {
+        return requests.isEmpty();
+    }
+
+    boolean exceedsLimit() {
+        return sizeBytes > MAX_BYTES;
+    }
+
+    /** Drops all requests and releases their messages. */
+    void clear() {
+        for (ReceivedRequest request; (request = poll()) != null; ) {
+            request.message().release();
+        }
+    }
+}
--- a/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -15,38 +15,42 @@
 import loadbalancer.proxy.protocol.HeaderNames;
 
 /**
- * Puts requests together. It answers nothing by itself but an expected 100, and that only where no answer is owed on
- * the connection: its word would overtake that answer. What it can't take it throws to the connection.
+ * Aggregates requests up to {@link HeaderNames#MAX_REQUEST_BODY_BYTES}. The only response it writes is an expected 100,
+ * and that only while no response is pending on the connection, which it would overtake. A request that it cannot
+ * aggregate becomes an exception on the pipeline: {@link TooLongFrameException} or {@link CorruptedFrameException}.
  */
 final class RequestAggregator extends HttpObjectAggregator {
-    private final BooleanSupplier nothingOwed;
+    private final BooleanSupplier responsePending;
 
-    RequestAggregator(BooleanSupplier nothingOwed) {
+    RequestAggregator(BooleanSupplier responsePending) {
         super(HeaderNames.MAX_REQUEST_BODY_BYTES);
-        this.nothingOwed = nothingOwed;
+        this.responsePending = responsePending;
     }
 
     @Override
     protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
-        boolean may = nothingOwed.getAsBoolean() && !isContentLengthInvalid(start, maxContentLength);
-        return may ? super.newContinueResponse(start, maxContentLength, pipeline) : null;
+        boolean allowed = !responsePending.getAsBoolean() && !isContentLengthInvalid(start, maxContentLength);
+        return allowed ? super.newContinueResponse(start, maxContentLength, pipeline) : null;
     }
 
     @Override
     protected FullHttpMessage beginAggregation(HttpMessage start, ByteBuf content) throws Exception {
-        List<String> encodings = start.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean plain = encodings.isEmpty()
-                || encodings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
-        if (!start.decoderResult().isSuccess() || !plain) {
-            // Another encoding has an end that is not known here: what follows may be body or the next request.
+        if (!start.decoderResult().isSuccess() || !hasKnownEnd(start)) {
             content.release();
-            throw new CorruptedFrameException("no request whose end is known");
+            throw new CorruptedFrameException("the end of the request is not known");
         }
         return super.beginAggregation(start, content);
     }
 
+    /** With an encoding other than chunked, what follows may be the body or the next request. */
+    private static boolean hasKnownEnd(HttpMessage start) {
+        List<String> encodings = start.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        return encodings.isEmpty()
+                || encodings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
+    }
+
     @Override
-    protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
+    protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
         throw new TooLongFrameException("a body of more than " + HeaderNames.MAX_REQUEST_BODY_BYTES + " bytes");
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
@@ -6,7 +6,10 @@
 import io.netty.util.AsciiString;
 import loadbalancer.proxy.protocol.StrictFraming;
 
-/** Takes requests apart, none of them by guess: what hides in another's body must never be taken for a request. */
+/**
+ * Decodes requests and rejects those whose framing two readers may understand differently, so that no request hides in
+ * the body of another.
+ */
 final class RequestDecoder extends HttpRequestDecoder {
     RequestDecoder() {
         super(new HttpDecoderConfig().setStrictLineParsing(true));
