--- /dev/null
+++ b/src/test/java/loadbalancer/decision/AdmissionControlTest.java
@@ -0,0 +1,70 @@
+package loadbalancer.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.settings.LoadReporting;
+import org.junit.jupiter.api.Test;
+
+/** Load that cannot be served within the latency objective is shed, and no other. */
+class AdmissionControlTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    /** A few slow responses say little of the fleet: an endpoint that is idle, as far as known, gets the request. */
+    @Test
+    void slowResponsesAloneCauseNoRejection() {
+        for (int sidecarCount : new int[] {4, 14, 400}) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.sidecarCount = sidecarCount;
+            fixture.loadReporting = LoadReporting.NONE;
+            fixture.latencyObjectiveMicros = 700_000;
+            fixture.start().listed(A, B);
+            for (int i = 0; i < 200; i++) {
+                fixture.clearActions();
+                fixture.advance(700_000).request("r" + i);
+                String endpoint = fixture.endpointOf("r" + i, 0);
+                assertNotNull(endpoint, sidecarCount + " sidecars, request " + i);
+                fixture.outcome("r" + i, 0, endpoint, AttemptOutcome.OK, i < 100 ? 100_000 : 300_000);
+            }
+        }
+    }
+
+    /** Local requests say nothing of a queue that other sidecars fill: gossip does. */
+    @Test
+    void shedsLoadThatTheFleetCannotServeInTime() {
+        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
+        assertEquals(0, rejectedOfFortyRequests(fixture), "no gossip yet");
+        fixture.gossipFromThirteenSidecars(10, 0.1);
+        assertEquals(0, rejectedOfFortyRequests(fixture), "little is in flight");
+        fixture.gossipFromThirteenSidecars(100, 20);
+        assertEquals(40, rejectedOfFortyRequests(fixture), "far more is in flight than can be served in time");
+        fixture.advance(10_000_000);
+        assertEquals(0, rejectedOfFortyRequests(fixture), "gossip expires");
+    }
+
+    @Test
+    void ignoresImplausibleInFlightCountsInGossip() {
+        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
+        fixture.gossipFromThirteenSidecars(0, 60_000);
+        assertTrue(rejectedOfFortyRequests(fixture) < 40);
+        fixture.advance(10_000_000);
+        fixture.gossipFromThirteenSidecars(1, 0);
+        assertEquals(0, rejectedOfFortyRequests(fixture));
+    }
+
+    /** Rejections of 40 requests, 100 ms apart, that are served at once where they are forwarded. */
+    private static int rejectedOfFortyRequests(PolicyFixture fixture) {
+        fixture.clearActions();
+        for (int i = 0; i < 40; i++) {
+            String id = "r" + fixture.nowMicros;
+            fixture.advance(100_000).request(id);
+            String endpoint = fixture.endpointOf(id, 0);
+            if (endpoint != null) {
+                fixture.advance(20_000).outcome(id, 0, endpoint, AttemptOutcome.OK, 20_000);
+            }
+        }
+        return fixture.rejectedRequests().size();
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/CapacityEstimatorTest.java
@@ -0,0 +1,21 @@
+package loadbalancer.decision;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** The number of cores of a machine type is learned from gossip. */
+class CapacityEstimatorTest {
+    /** Cores show only in queues, which a sidecar of little traffic hardly observes: it learns from the others. */
+    @Test
+    void learnsCoresFromGossipOfSidecarsThatObserveQueues() {
+        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
+        for (int sender = 1; sender < 14; sender++) {
+            fixture.gossipOfMachineType(sender, 1, 4, 40);
+        }
+        double cores = fixture.coresOfMachineType();
+        assertTrue(cores > 3 && cores <= 4, "cores " + cores);
+        fixture.gossipOfMachineType(1, 1, 255, 40);
+        assertTrue(fixture.coresOfMachineType() < 3 * cores, "one false message changes little");
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/DeterminismTest.java
@@ -0,0 +1,42 @@
+package loadbalancer.decision;
+
+import static loadbalancer.decision.PolicyFixture.SWEEP_TIMER;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** The same settings, seed and events give the same actions. */
+class DeterminismTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    @Test
+    void sameEventsGiveSameActionsBesideOtherInstances() {
+        PolicyFixture alone = new PolicyFixture().start().listed(A, B);
+        play(alone, 0, 200);
+        PolicyFixture one = new PolicyFixture().start().listed(A, B);
+        PolicyFixture two = new PolicyFixture().start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
+        for (int i = 0; i < 200; i += 10) {
+            play(one, i, i + 10);
+            play(two, i, i + 10);
+        }
+        assertEquals(alone.actions(), one.actions());
+        assertNotEquals(one.actions(), two.actions());
+    }
+
+    private static void play(PolicyFixture fixture, int from, int to) {
+        for (int i = from; i < to; i++) {
+            fixture.advance(3_000).request("r" + i);
+            if (i % 3 == 0 && fixture.endpointOf("r" + i, 0) != null) {
+                fixture.outcome(
+                        "r" + i,
+                        0,
+                        fixture.endpointOf("r" + i, 0),
+                        i % 9 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+                        70_000);
+            }
+            fixture.fire(SWEEP_TIMER);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/DiscoveryBackoffTest.java
@@ -0,0 +1,47 @@
+package loadbalancer.decision;
+
+import static loadbalancer.decision.PolicyFixture.DISCOVERY_TIMER;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Polled discovery is called at once, and again with backoff after failures. */
+class DiscoveryBackoffTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+
+    @Test
+    void pollsAtOnceAndAgainAfterAFailure() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.polledDiscovery = true;
+        fixture.start();
+        assertEquals(1, fixture.pollCount());
+        fixture.endpointList(EndpointListType.FAILED);
+        assertEquals(1, fixture.timerDelaysMicros(DISCOVERY_TIMER).size());
+        fixture.advance(2_000_000).fire(DISCOVERY_TIMER);
+        assertEquals(2, fixture.pollCount());
+        fixture.endpointList(EndpointListType.FULL, A);
+        fixture.fire(DISCOVERY_TIMER);
+        assertEquals(2, fixture.pollCount());
+    }
+
+    /** The next call comes soon enough after discovery recovers, and calls do not flood it meanwhile. */
+    @Test
+    void backoffStaysWithinBoundsHoweverLongDiscoveryFails() {
+        for (int seed = 0; seed < 20; seed++) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.polledDiscovery = true;
+            fixture.seed = seed;
+            fixture.start();
+            for (int failures = 0; failures < 30; failures++) {
+                fixture.clearActions();
+                fixture.endpointList(EndpointListType.FAILED);
+                long delayMicros = fixture.timerDelaysMicros(DISCOVERY_TIMER).get(0);
+                assertTrue(
+                        delayMicros >= 250_000 && delayMicros <= 1_500_000, "polls again after " + delayMicros + " us");
+                fixture.advance(delayMicros).fire(DISCOVERY_TIMER);
+                assertEquals(1, fixture.pollCount());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/EndpointRegistryTest.java
@@ -0,0 +1,42 @@
+package loadbalancer.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** Endpoints follow the endpoint lists: added, draining, removed and forgotten. */
+class EndpointRegistryTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    @Test
+    void drainingAndRemovedEndpointsGetNothing() {
+        PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
+        fixture.endpointList(EndpointListType.DELTA, new Endpoint("a", "za", "k", 1, 0, 1, EndpointState.DRAINING));
+        fixture.request("r1").request("r2");
+        fixture.endpointList(EndpointListType.FULL, A);
+        fixture.advance(1).request("r3");
+        assertEquals("b", fixture.endpointOf("r1", 0));
+        assertEquals("b", fixture.endpointOf("r2", 0));
+        assertEquals("a", fixture.endpointOf("r3", 0));
+    }
+
+    /** Replacements have new ids: remembered for ever, removed endpoints would fill the memory. */
+    @Test
+    void removedEndpointIsForgottenAfterItsLastAttempt() {
+        PolicyFixture fixture = new PolicyFixture().start().listed(A);
+        fixture.request("r");
+        for (int i = 0; i < 50; i++) {
+            fixture.endpointList(
+                    EndpointListType.DELTA,
+                    PolicyFixture.endpoint("n" + i, "za", 1),
+                    PolicyFixture.withState(
+                            i == 0 ? A : PolicyFixture.endpoint("n" + (i - 1), "za", 1), EndpointState.REMOVED));
+        }
+        assertEquals(2, fixture.endpointCount());
+        fixture.outcome("r", 0, "a", AttemptOutcome.OK, 1_000);
+        assertEquals(1, fixture.endpointCount());
+        fixture.listed(B);
+        assertEquals(1, fixture.endpointCount());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/EndpointSubsetTest.java
@@ -0,0 +1,45 @@
+package loadbalancer.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import loadbalancer.settings.LoadReporting;
+import org.junit.jupiter.api.Test;
+
+/** Where connections cost, a sidecar uses a small subset of the endpoints. */
+class EndpointSubsetTest {
+    @Test
+    void subsetsAreSmallAndSpreadEvenlyOverEachMachineType() {
+        int sidecarCount = 400;
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < 60; i++) {
+            String machineType = i % 3 == 0 ? "slow" : "fast";
+            endpoints.add(new Endpoint("u" + i * 7919, "za", machineType, i / 3, 0, 1, EndpointState.READY));
+        }
+        Map<String, Integer> users = new HashMap<>();
+        for (int i = 0; i < sidecarCount; i++) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.sidecarIndex = i;
+            fixture.sidecarCount = sidecarCount;
+            fixture.connectionPrice = 0.05;
+            fixture.loadReporting = LoadReporting.NONE;
+            fixture.start().listed(endpoints.toArray(new Endpoint[0]));
+            Set<String> used = new HashSet<>();
+            for (int j = 0; j < 40; j++) {
+                fixture.advance(200_000).request("r" + j);
+                used.add(fixture.endpointOf("r" + j, 0));
+                fixture.outcome("r" + j, 0, fixture.endpointOf("r" + j, 0), AttemptOutcome.OK, 75_000);
+            }
+            assertTrue(used.size() <= 6, "" + used);
+            used.forEach(endpoint -> users.merge(endpoint, 1, Integer::sum));
+        }
+        assertEquals(60, users.size());
+        users.forEach((endpoint, count) -> assertTrue(count >= 5 && count <= 50, endpoint + " has " + count));
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/FinalResponseTest.java
@@ -0,0 +1,105 @@
+package loadbalancer.decision;
+
+import static loadbalancer.decision.PolicyFixture.SWEEP_TIMER;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import loadbalancer.decision.RecordedAction.SentAttempt;
+import loadbalancer.settings.DeduplicationScope;
+import loadbalancer.settings.Idempotency;
+import org.junit.jupiter.api.Test;
+
+/** A request gets exactly one final response: forwarded, rejected or failed. */
+class FinalResponseTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    @Test
+    void rejectsBeforeTheDeadlineWithoutAnyEndpoint() {
+        PolicyFixture fixture = new PolicyFixture().start();
+        fixture.request("r");
+        for (int i = 0; i < 100; i++) {
+            fixture.advance(5_000).fire(SWEEP_TIMER);
+        }
+        assertEquals(List.of("r"), fixture.rejectedRequests());
+        assertTrue(fixture.failedRequests().isEmpty());
+    }
+
+    @Test
+    void rejectsAtOnceWhenLittleTimeRemains() {
+        PolicyFixture fixture = new PolicyFixture().start();
+        fixture.request("r", 3_000);
+        assertEquals(1, fixture.rejectionCount("r"));
+    }
+
+    @Test
+    void failsAfterATimeoutAtTheDeadline() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
+        fixture.deduplicationScope = DeduplicationScope.ZONE;
+        fixture.start().listed(A).request("r").advance(800_000).outcome("r", 0, "a", AttemptOutcome.TIMEOUT, 800_000);
+        assertEquals(1, fixture.failureCount("r"));
+        assertEquals(1, fixture.attemptCount("r"));
+    }
+
+    @Test
+    void neitherRetriesNorRespondsAfterTheClientHasLeft() {
+        PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
+        fixture.request("r");
+        fixture.expire("r");
+        fixture.advance(10_000).outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.CONNECT_FAILED, 10_000);
+        assertEquals(1, fixture.attemptCount("r"));
+        assertTrue(
+                fixture.failedRequests().isEmpty() && fixture.rejectedRequests().isEmpty());
+    }
+
+    @Test
+    void startedStreamGetsNeitherRetryNorSecondResponse() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.streaming = true;
+        fixture.start().listed(A, B).request("r");
+        fixture.streamStart("r", 0, fixture.endpointOf("r", 0), 5_000);
+        fixture.outcome(new AttemptResult("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.RESET, 9_000, true, null));
+        assertEquals(1, fixture.attemptCount());
+        assertTrue(
+                fixture.failedRequests().isEmpty() && fixture.rejectedRequests().isEmpty());
+    }
+
+    /** A rejection promises that nothing has run, so that the client may retry. */
+    @Test
+    void rejectsOnlyWhatCannotHaveRun() {
+        for (AttemptOutcome outcome : new AttemptOutcome[] {
+            AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.REJECTED
+        }) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.maxAttempts = 1;
+            fixture.start()
+                    .listed(A, B)
+                    .request("r")
+                    .advance(10_000)
+                    .outcome("r", 0, fixture.endpointOf("r", 0), outcome, 10_000);
+            assertEquals(outcome.mayHaveRun ? 1 : 0, fixture.failureCount("r"), outcome.name());
+            assertEquals(outcome.mayHaveRun ? 0 : 1, fixture.rejectionCount("r"), outcome.name());
+        }
+    }
+
+    /** Every endpoint would reject it, and none is at fault. */
+    @Test
+    void invalidRequestFailsWithoutRetry() {
+        PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
+        for (int i = 0; i < 6; i++) {
+            fixture.request("r" + i)
+                    .outcome("r" + i, 0, fixture.endpointOf("r" + i, 0), AttemptOutcome.INVALID_REQUEST, 1_000);
+            assertNull(fixture.endpointOf("r" + i, 1));
+        }
+        assertEquals(6, fixture.failedRequests().size());
+        assertEquals(
+                2,
+                fixture.sentAttempts().stream()
+                        .map(SentAttempt::endpointId)
+                        .distinct()
+                        .count());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/HealthCheckedSelectorTest.java
@@ -0,0 +1,81 @@
+package loadbalancer.decision;
+
+import static loadbalancer.decision.PolicyFixture.SWEEP_TIMER;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import org.junit.jupiter.api.Test;
+
+/** The drawn endpoints are asked for load reports before one is selected. */
+class HealthCheckedSelectorTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    @Test
+    void checksBothDrawnEndpointsAndSelectsTheLessLoaded() {
+        PolicyFixture fixture = withHealthChecks().request("r");
+        assertEquals(2, fixture.healthChecks().size());
+        assertNull(fixture.endpointOf("r", 0));
+        fixture.advance(1_000);
+        fixture.healthCheckReply("a", new LoadReport(2, 1, 1));
+        fixture.healthCheckReply("b", new LoadReport(0, 0, 0));
+        assertEquals("b", fixture.endpointOf("r", 0));
+    }
+
+    /** A stalled endpoint shows in a health check before any request is lost on it. */
+    @Test
+    void endpointWithoutReplyByTheNextSweepIsNotSelected() {
+        PolicyFixture fixture = withHealthChecks().request("r").advance(1_000);
+        fixture.healthCheckReply("a", new LoadReport(0, 0, 0));
+        assertNull(fixture.endpointOf("r", 0));
+        fixture.advance(5_000).fire(SWEEP_TIMER);
+        assertEquals("a", fixture.endpointOf("r", 0));
+    }
+
+    @Test
+    void replyWithoutLoadReportCountsAsBusy() {
+        PolicyFixture fixture = withHealthChecks().request("r").advance(1_000);
+        fixture.healthCheckReply("a", null);
+        fixture.healthCheckReply("b", new LoadReport(1, 0, 1));
+        for (int i = 0; i < 3 && fixture.endpointOf("r", 0) == null; i++) {
+            fixture.advance(5_000);
+            fixture.healthCheckReply("a", null);
+            fixture.healthCheckReply("b", new LoadReport(1, 0, 1));
+            fixture.fire(SWEEP_TIMER);
+        }
+        assertEquals("b", fixture.endpointOf("r", 0));
+    }
+
+    /** The only sidecar knows the load of its endpoints: health checks would cost time and have a price. */
+    @Test
+    void skipsHealthChecksIfOtherSidecarsHardlyChangeTheLoad() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.healthChecks = true;
+        fixture.sidecarCount = 1;
+        fixture.start().listed(A, B).request("r").advance(1_000);
+        fixture.healthCheckReply("a", new LoadReport(0, 0, 0));
+        fixture.healthCheckReply("b", new LoadReport(0, 0, 0));
+        String first = fixture.endpointOf("r", 0);
+        fixture.clearActions();
+        fixture.advance(20_000).request("s");
+        assertEquals(0, fixture.healthChecks().size());
+        assertEquals(first.equals("a") ? "b" : "a", fixture.endpointOf("s", 0));
+    }
+
+    /** If the sidecar itself is slow, no reply comes in time: its requests must not wait for one in vain. */
+    @Test
+    void selectsByLocalInFlightWithoutAnyReply() {
+        PolicyFixture fixture = withHealthChecks().request("r").advance(5_000).fire(SWEEP_TIMER);
+        String first = fixture.endpointOf("r", 0);
+        assertNotNull(first, "it waits for a reply that does not come");
+        fixture.request("s").advance(5_000).fire(SWEEP_TIMER);
+        assertEquals(first.equals("a") ? "b" : "a", fixture.endpointOf("s", 0));
+    }
+
+    private static PolicyFixture withHealthChecks() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.healthChecks = true;
+        return fixture.start().listed(A, B);
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/HedgingPolicyTest.java
@@ -0,0 +1,66 @@
+package loadbalancer.decision;
+
+import static loadbalancer.decision.PolicyFixture.OVERDUE_TIMER_PREFIX;
+import static loadbalancer.decision.PolicyFixture.UNRESPONSIVE_TIMER_PREFIX;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import loadbalancer.settings.Idempotency;
+import org.junit.jupiter.api.Test;
+
+/** When a request gets a further attempt while the first is in flight. */
+class HedgingPolicyTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    @Test
+    void hedgedAttemptIsSentOnlyIfTheSettingsAllowIt() {
+        for (boolean hedging : new boolean[] {false, true}) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.hedging = hedging;
+            fixture.start().listed(A, B).request("r");
+            String other = fixture.endpointOf("r", 0).equals("a") ? "b" : "a";
+            assertEquals(hedging, fixture.maySend("r", other));
+        }
+    }
+
+    /**
+     * A stall shows when the endpoint of an overdue attempt does not reply to a health check: then a hedged request is
+     * sent.
+     */
+    @Test
+    void hedgesAnOverdueAttemptOnlyIfItsEndpointIsUnresponsive() {
+        for (boolean unresponsive : new boolean[] {true, false}) {
+            for (Idempotency idempotency : new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT}) {
+                PolicyFixture fixture = new PolicyFixture();
+                fixture.healthChecks = fixture.hedging = true;
+                fixture.idempotency = idempotency;
+                fixture.start().listed(A, B);
+                for (int i = 0; i < 20; i++) {
+                    // Earns the budget of a hedged request and reports both endpoints idle.
+                    fixture.request("w" + i).advance(1_000);
+                    for (String id : new String[] {"a", "b"}) {
+                        fixture.healthCheckReply(id, new LoadReport(0, 0, 0));
+                    }
+                    fixture.outcome("w" + i, 0, fixture.endpointOf("w" + i, 0), AttemptOutcome.OK, 50_000);
+                }
+                fixture.request("r").advance(1_000);
+                for (String id : new String[] {"a", "b"}) {
+                    fixture.healthCheckReply(id, new LoadReport(0, 0, 0));
+                }
+                String endpoint = fixture.endpointOf("r", 0);
+                fixture.clearActions();
+                fixture.advance(150_000).fire(OVERDUE_TIMER_PREFIX + "r");
+                if (idempotency == Idempotency.IDEMPOTENT) {
+                    assertEquals(List.of(endpoint), fixture.healthChecks());
+                }
+                fixture.advance(5_000);
+                if (!unresponsive) {
+                    fixture.healthCheckReply(endpoint, new LoadReport(1, 0, 1));
+                }
+                fixture.fire(UNRESPONSIVE_TIMER_PREFIX + "r");
+                assertEquals(unresponsive && idempotency == Idempotency.IDEMPOTENT ? 1 : 0, fixture.attemptCount("r"));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -0,0 +1,159 @@
+package loadbalancer.decision;
+
+import static loadbalancer.decision.PolicyFixture.SWEEP_TIMER;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.settings.Idempotency;
+import loadbalancer.settings.LoadReporting;
+import org.junit.jupiter.api.Test;
+
+/** Endpoints that fail are ejected for a time; isolated failures eject none. */
+class OutlierDetectorTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    /** One request without a response says nothing of an endpoint that has answered later ones. */
+    @Test
+    void oneLostRequestDoesNotEjectARespondingEndpoint() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.loadReporting = LoadReporting.NONE;
+        fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
+        fixture.start().listed(A).request("swallowed");
+        for (int i = 0; i < 30; i++) {
+            fixture.advance(1_000).request("n" + i);
+            assertEquals("a", fixture.endpointOf("n" + i, 0), "request " + i);
+            fixture.advance(24_000).outcome("n" + i, 0, "a", AttemptOutcome.OK, 24_000);
+        }
+        fixture.advance(50_000)
+                .outcome("swallowed", 0, "a", AttemptOutcome.TIMEOUT, 800_000)
+                .request("r")
+                .request("s");
+        assertEquals("a", fixture.endpointOf("r", 0));
+        assertEquals("a", fixture.endpointOf("s", 0));
+    }
+
+    /** Without any response an endpoint counts as stalled, and new requests wait or go to another one. */
+    @Test
+    void stalledEndpointGetsNothingNew() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.loadReporting = LoadReporting.NONE;
+        fixture.start().listed(A);
+        for (int i = 0; i < 10; i++) {
+            fixture.request("w" + i).advance(24_000).outcome("w" + i, 0, "a", AttemptOutcome.OK, 24_000);
+        }
+        fixture.request("stuck").advance(300_000).request("r");
+        assertNotNull(fixture.endpointOf("stuck", 0));
+        assertNull(fixture.endpointOf("r", 0));
+    }
+
+    /** Failures of all endpoints say little of any one: with all ejected nothing would be served. */
+    @Test
+    void panicModeIgnoresEjectionsIfMostEndpointsFail() {
+        PolicyFixture fixture = new PolicyFixture().start().listed(A, B).request("r");
+        for (int attempt = 0; attempt < 2; attempt++) {
+            fixture.outcome("r", attempt, fixture.endpointOf("r", attempt), AttemptOutcome.CONNECT_FAILED, 1_000);
+        }
+        assertEquals(2, fixture.attemptCount());
+        fixture.advance(150_000).fire(SWEEP_TIMER).request("s");
+        assertTrue(fixture.attemptCount() > 2, "all are ejected");
+    }
+
+    /** A rare malformed response is the fault of the network; an endpoint that sends only such is ejected. */
+    @Test
+    void malformedResponseWeighsHalfAFailure() {
+        PolicyFixture fixture = new PolicyFixture().start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
+        List<String> selected = new ArrayList<>();
+        for (int i = 0; i < 40; i++) {
+            fixture.request("r" + i);
+            for (int attempt = 0; fixture.endpointOf("r" + i, attempt) != null; attempt++) {
+                String endpoint = fixture.endpointOf("r" + i, attempt);
+                selected.add(endpoint);
+                fixture.outcome(
+                        "r" + i,
+                        attempt,
+                        endpoint,
+                        endpoint.equals("a") ? AttemptOutcome.MALFORMED_RESPONSE : AttemptOutcome.OK,
+                        75_000);
+            }
+            fixture.advance(10_000);
+        }
+        long onA = selected.stream().filter("a"::equals).count();
+        assertTrue(onA >= 4 && onA <= 5, onA + " of " + selected.size());
+    }
+
+    /** A drain that the endpoint list does not show yet appears as rejections by an endpoint with little load. */
+    @Test
+    void rejectionByAnIdleEndpointEjectsIt() {
+        assertEjectedAfter(AttemptOutcome.REJECTED, 30_000);
+    }
+
+    /** It serves the rest: ejected for seconds after each rejection, it would serve next to nothing. */
+    @Test
+    void endpointThatRejectsSomeRequestsIsNotEjected() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.loadReporting = LoadReporting.NONE;
+        fixture.start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
+        int sent = 0;
+        for (int i = 0; i < 60; i++) {
+            String[] ids = {"x" + i, "y" + i, "z" + i};
+            for (String id : ids) {
+                fixture.request(id);
+            }
+            fixture.advance(5_000);
+            for (String id : ids) {
+                // Every other request to it is rejected.
+                if (fixture.endpointOf(id, 0).equals("a") && sent++ % 2 == 1) {
+                    fixture.outcome(id, 0, "a", AttemptOutcome.REJECTED, 5_000);
+                }
+            }
+            fixture.advance(24_000);
+            for (String id : ids) {
+                int last = fixture.attemptCount(id) - 1;
+                fixture.outcome(id, last, fixture.endpointOf(id, last), AttemptOutcome.OK, 24_000);
+            }
+        }
+        assertTrue(sent >= 30, "only " + sent + " of 180 were sent to it");
+    }
+
+    @Test
+    void failedConnectEjectsTheEndpointForAWhile() {
+        assertEjectedAfter(AttemptOutcome.CONNECT_FAILED, 1_000);
+    }
+
+    /** On a bad network single connections fail; a process that has died shows in the next ones too. */
+    @Test
+    void oneFailedConnectDoesNotEjectARespondingEndpoint() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.loadReporting = LoadReporting.NONE;
+        fixture.start().listed(A);
+        for (int i = 0; i < 10; i++) {
+            fixture.request("w" + i).advance(24_000).outcome("w" + i, 0, "a", AttemptOutcome.OK, 24_000);
+        }
+        fixture.request("r").advance(1_000).outcome("r", 0, "a", AttemptOutcome.CONNECT_FAILED, 1_000);
+        assertEquals("a", fixture.endpointOf("r", 1));
+        for (int i = 1; i <= 3; i++) {
+            fixture.advance(1_000).outcome("r", i, "a", AttemptOutcome.CONNECT_FAILED, 1_000);
+        }
+        assertNull(fixture.endpointOf("r", 4));
+    }
+
+    private static void assertEjectedAfter(AttemptOutcome outcome, long stepMicros) {
+        PolicyFixture fixture =
+                new PolicyFixture().start().listed(A, B).request("r").advance(1_000);
+        String ejected = fixture.endpointOf("r", 0);
+        fixture.outcome("r", 0, ejected, outcome, 1_000);
+        fixture.outcome("r", 1, fixture.endpointOf("r", 1), AttemptOutcome.OK, 50_000);
+        for (int i = 0; i < 10; i++) {
+            fixture.advance(stepMicros).request("n" + i);
+            assertNotNull(fixture.endpointOf("n" + i, 0));
+            assertNotEquals(ejected, fixture.endpointOf("n" + i, 0));
+            fixture.outcome("n" + i, 0, fixture.endpointOf("n" + i, 0), AttemptOutcome.OK, 50_000);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/decision/RetryEligibilityTest.java
@@ -0,0 +1,112 @@
+package loadbalancer.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.settings.DeduplicationScope;
+import loadbalancer.settings.Idempotency;
+import org.junit.jupiter.api.Test;
+
+/** Which requests may be retried, and to which endpoints. */
+class RetryEligibilityTest {
+    private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
+    private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+
+    @Test
+    void nonIdempotentRequestFailsOnceItMayHaveRun() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
+        fixture.start().listed(A, B).request("r").advance(10_000);
+        fixture.outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
+        assertEquals(1, fixture.attemptCount("r"));
+        assertEquals(1, fixture.failureCount("r"));
+        assertTrue(fixture.rejectedRequests().isEmpty());
+    }
+
+    @Test
+    void nonIdempotentRequestIsRetriedIfItNeverRan() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
+        fixture.start().listed(A, B).request("r").advance(10_000);
+        fixture.outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.CONNECT_FAILED, 10_000);
+        assertNotNull(fixture.endpointOf("r", 1));
+        assertNotEquals(fixture.endpointOf("r", 0), fixture.endpointOf("r", 1));
+    }
+
+    @Test
+    void keyedRetryStaysInTheZoneThatDeduplicates() {
+        for (int seed = 0; seed < 20; seed++) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.seed = seed;
+            fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
+            fixture.deduplicationScope = DeduplicationScope.ZONE;
+            fixture.start()
+                    .listed(A, B, PolicyFixture.endpoint("c", "zb", 3))
+                    .request("r")
+                    .advance(10_000);
+            String first = fixture.endpointOf("r", 0);
+            fixture.outcome("r", 0, first, AttemptOutcome.RESET, 10_000);
+            String second = fixture.endpointOf("r", 1);
+            if (second != null) {
+                assertEquals(first.equals("a"), second.equals("a"), first + " then " + second);
+            }
+            assertTrue(fixture.rejectedRequests().isEmpty());
+        }
+    }
+
+    @Test
+    void keyedRetryStaysInItsCellAndDeduplicationWindow() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
+        fixture.deduplicationScope = DeduplicationScope.CELL;
+        fixture.start()
+                .listed(A, B)
+                .request("r")
+                .advance(10_000)
+                .outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
+        String second = fixture.endpointOf("r", 1);
+        assertTrue(second == null || second.equals(fixture.endpointOf("r", 0)));
+
+        PolicyFixture afterWindow = new PolicyFixture();
+        afterWindow.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
+        afterWindow.deduplicationWindowMicros = 5_000;
+        afterWindow
+                .start()
+                .listed(A, B)
+                .request("r")
+                .advance(10_000)
+                .outcome("r", 0, afterWindow.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
+        assertNull(afterWindow.endpointOf("r", 1));
+        // It may have run, and no endpoint deduplicates a retry any more: a rejection would promise too much.
+        assertEquals(1, afterWindow.failureCount("r"));
+        assertTrue(afterWindow.rejectedRequests().isEmpty());
+    }
+
+    /** A retry that needs a new connection arrives later than it is sent; the window still applies to its arrival. */
+    @Test
+    void keyedRetryArrivesWithinTheWindowDespiteASlowConnect() {
+        for (long windowMicros : new long[] {259_000, 261_000}) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
+            fixture.deduplicationWindowMicros = windowMicros;
+            fixture.start().listed(A, B).request("r").advance(10_000);
+            fixture.outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
+            assertEquals(windowMicros > 260_000, fixture.endpointOf("r", 1) != null, "window " + windowMicros);
+        }
+    }
+
+    @Test
+    void makesNoMoreThanTheMaximumNumberOfAttempts() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.maxAttempts = 2;
+        fixture.start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3)).request("r");
+        for (int i = 0; i < 2; i++) {
+            fixture.advance(1_000).outcome("r", i, fixture.endpointOf("r", i), AttemptOutcome.CONNECT_FAILED, 1_000);
+        }
+        assertEquals(2, fixture.attemptCount("r"));
+        assertEquals(1, fixture.rejectionCount("r"));
+    }
+}
