--- a/src/main/java/loadbalancer/decision/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcome.java
@@ -1,22 +1,29 @@
 package loadbalancer.decision;
 
-/**
- * {@code MALFORMED_RESPONSE}: something came back that is no answer. {@code INVALID_REQUEST}: the request itself was
- * found to be no good, which says nothing of the upstream.
- */
+/** How an attempt ended, with what that says about a side effect of the request. */
 public enum AttemptOutcome {
+    /** A response that answers the request. */
     OK(true),
+    /** The endpoint reported an error of its own. */
     ERROR(true),
+    /** The endpoint turned the attempt away before any work on it. */
     REJECTED(false),
+    /** No response by the deadline of the attempt. */
     TIMEOUT(true),
+    /** No connection to the endpoint could be opened. */
     CONNECT_FAILED(false),
+    /** The connection broke while the attempt was in flight. */
     RESET(true),
+    /** This sidecar cancelled the attempt. */
     CANCELLED(true),
+    /** The host did not send the attempt: the request was over, or no further attempt was permitted. */
     NOT_SENT(false),
+    /** The endpoint sent something that is no response of the protocol. */
     MALFORMED_RESPONSE(true),
+    /** The request itself is invalid; this says nothing about the endpoint. */
     INVALID_REQUEST(true);
 
-    /** False where the outcome proves that the attempt never ran. */
+    /** False if this outcome proves that the endpoint has done nothing for the attempt. */
     public final boolean mayHaveRun;
 
     AttemptOutcome(boolean mayHaveRun) {
--- a/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
@@ -2,7 +2,26 @@
 
 import java.util.List;
 
-/** All that an instance is told at its start or by a reload. */
+/**
+ * All settings of one sidecar, in force from its start or from a reload. The lists must not be modified.
+ *
+ * @param sidecarIndex number of this sidecar among all, from 0; spreads what sidecars would otherwise do alike
+ * @param sidecarCount number of all sidecars that share the endpoints, 1 or more
+ * @param zone the local zone
+ * @param zones names of all zones
+ * @param machineTypes names of the machine types that endpoints may have
+ * @param requestClasses the classes of requests, one or more with unique names
+ * @param tenants tenants with a share of the service; empty if requests carry no tenant
+ * @param limits what the site permits for a request
+ * @param rules rules for starting and leaving endpoints
+ * @param loadReporting when endpoints report their load
+ * @param polledDiscovery whether endpoint lists have to be polled; otherwise changes come by themselves. It can't
+ *     change in a reload
+ * @param weightByWork whether the value of a request also grows with its work
+ * @param overQuotaWeight part of the priority weight that remains for a request beyond its tenant's quota
+ * @param prices prices of what the sidecars use
+ * @param clockTickMicros events reach the module at most this often
+ */
 public record LoadBalancerSettings(
         int sidecarIndex,
         int sidecarCount,
--- a/src/main/java/loadbalancer/settings/LoadReporting.java
+++ b/src/main/java/loadbalancer/settings/LoadReporting.java
@@ -1,8 +1,11 @@
 package loadbalancer.settings;
 
-/** How upstreams tell their load: not at all, with each answer, or when asked. */
+/** When endpoints report their load. */
 public enum LoadReporting {
+    /** Never: load is estimated from the sidecar's own requests and from gossip. */
     NONE,
+    /** With each response and with each reply to a health check. */
     INLINE,
+    /** With each reply to a health check. */
     ON_HEALTH_CHECK
 }
--- a/src/main/java/loadbalancer/settings/RequestClass.java
+++ b/src/main/java/loadbalancer/settings/RequestClass.java
@@ -1,6 +1,20 @@
 package loadbalancer.settings;
 
-/** A class of requests. Times in microseconds; {@code priorityWeight} in points of the result. */
+/**
+ * A class of requests with the same promise to clients. The name of a class comes with each request.
+ *
+ * @param name unique among the classes
+ * @param idempotency whether a request may be run more than once
+ * @param deduplicationScope which endpoints drop repeats of a key; used only with
+ *     {@link Idempotency#IDEMPOTENT_WITH_KEY}
+ * @param deduplicationWindowMicros how long a key is remembered, from the send of the first attempt that may have run
+ * @param latencyObjectiveMicros a response within this time has the full priority weight
+ * @param latencyObjectiveWorkRatio if positive, the objective grows by this many times the request's own work
+ * @param deadlineMicros how long clients wait in all; a single request may leave less
+ * @param priorityWeight value of a request against those of other classes; where load is shed, low weights go first
+ * @param lateWeight part of the priority weight, 0 to 1, of a response between the objective and the deadline
+ * @param streaming whether responses are streamed: once a stream has started there is no further attempt
+ */
 public record RequestClass(
         String name,
         Idempotency idempotency,
--- a/src/main/java/loadbalancer/settings/RequestLimits.java
+++ b/src/main/java/loadbalancer/settings/RequestLimits.java
@@ -1,6 +1,19 @@
 package loadbalancer.settings;
 
-/** {@code connectTimeoutMicros}: a send that needs a new connection reaches its upstream at most so much later. */
+/**
+ * What the site permits a sidecar to do for a request, and its limits on connections.
+ *
+ * @param maxAttempts most attempts of one request, 1 or more
+ * @param hedging whether a request may have two attempts in flight
+ * @param cancellation whether attempts may be cancelled
+ * @param healthChecks whether endpoints may be asked for load reports
+ * @param gossip whether sidecars may send messages to one another
+ * @param retryAfter whether clients are told when to come back after a rejection
+ * @param maxRetryAfterMicros longest such time that clients respect
+ * @param connectionIdleTimeoutMicros connections without a request are closed after this time
+ * @param connectTimeoutMicros an attempt that needs a new connection reaches its endpoint at most this much later
+ * @param cpuMicrosPerRequest limit on the sidecar's processor time for a request; 0 if there is none
+ */
 public record RequestLimits(
         int maxAttempts,
         boolean hedging,
