--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -111,12 +111,12 @@
                                     SidecarFixture.entry("late", "127.0.0.1:" + late.getLocalPort(), "Ready", 0)));
                 }
             };
-            SidecarFixture.OnRequest usual = rig.onRequest;
+            SidecarFixture.RequestHandler usual = rig.onRequest;
             rig.onRequest = (now, r, out) -> {
                 if (r.id().startsWith("gone")) {
                     out.sendAttempt(r.id(), "late", 0);
                 } else {
-                    usual.take(now, r, out);
+                    usual.handle(now, r, out);
                 }
             };
             rig.start();
@@ -149,7 +149,7 @@
     }
 
     private void awaitAtUpstream(String id) throws InterruptedException {
-        while (!rig.peers.get(0).next().header("X-Txn").equals(id)) {
+        while (!rig.endpointServers.get(0).next().header("X-Txn").equals(id)) {
             // the others of rounds before
         }
     }
@@ -158,7 +158,7 @@
     void noFurtherAttemptBeginsWhereAFailureAndItsClientsEndComeTogether() throws Exception {
         Semaphore fail = new Semaphore(0);
         Semaphore failed = new Semaphore(0);
-        rig.peers.get(0).script = (m, line) -> {
+        rig.endpointServers.get(0).script = (m, line) -> {
             if (m.header("X-Txn").startsWith("gone")) {
                 fail.acquireUninterruptibly();
                 line.answer("500 No", "", "");
@@ -168,7 +168,7 @@
             }
         };
         rig.upstream((m, line) -> line.answer("200 OK", "", ""));
-        SidecarFixture.OnRequest usual = rig.onRequest;
+        SidecarFixture.RequestHandler usual = rig.onRequest;
         rig.onRequest = (now, r, out) -> {
             if (r.id().startsWith("warm")) {
                 out.sendAttempt(r.id(), "u1", 0);
@@ -176,7 +176,7 @@
                 out.startTimer("rested", 2 * UpstreamConnectionPool.REST_US);
                 out.fail(r.id());
             } else {
-                usual.take(now, r, out);
+                usual.handle(now, r, out);
             }
         };
         rig.onOutcome = (id, outcome, done, out) -> {
@@ -204,7 +204,7 @@
                 rig.await("expired gone" + i);
             }
         }
-        for (StubServer.Message m; (m = rig.peers.get(1).messages.poll()) != null; ) {
+        for (StubServer.Message m; (m = rig.endpointServers.get(1).messages.poll()) != null; ) {
             assertTrue(m.header("X-Txn").startsWith("warm"), "sent on for who had left");
         }
     }
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -137,7 +137,7 @@
             rig.start();
             try (StubServer.Client client = rig.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                rig.peers.get(0).next();
+                rig.endpointServers.get(0).next();
                 rig.onRequest = (now, r, out) -> {
                     out.sendAttempt("a1", "u1", 0);
                     out.fail(r.id());
@@ -149,7 +149,7 @@
                 assertEquals("second", client.answer().body());
                 assertEquals("outcome a1 1 OK true -", rig.await("outcome"));
                 synchronized (held) {
-                    ((StubServer.Line) held[0]).answer("200 OK", "", "first");
+                    ((StubServer.Connection) held[0]).answer("200 OK", "", "first");
                 }
                 assertEquals("outcome a1 0 OK true -", rig.await("outcome"));
                 client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -219,7 +219,7 @@
                 try (StubServer.Client other = rig.client()) {
                     other.send(SidecarFixture.get("other", 20_000));
                     // Nothing else was taken in between, and the other's request comes after all that was sent.
-                    assertTrue(rig.told.take().startsWith("request other "));
+                    assertTrue(rig.events.take().startsWith("request other "));
                 }
             }
         }
@@ -261,7 +261,7 @@
         try (SidecarFixture rig = new SidecarFixture()) {
             StubServer silent = rig.upstream((m, line) -> {});
             // 48 for the program itself, and as many clients as may have requests: a third.
-            rig.sockets = 192;
+            rig.descriptorLimit = 192;
             rig.start();
             StubServer.Client[] clients = new StubServer.Client[192 / 3];
             for (int i = 0; i < clients.length; i++) {
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
@@ -24,8 +24,8 @@
     private static SidecarFixture pushed(WatchTimeouts patience, StubServer.Script script) throws Exception {
         SidecarFixture rig = new SidecarFixture(script);
         rig.settings = rig.settings.replace("on_request", "pushed");
-        rig.asks = false;
-        rig.patience = patience;
+        rig.pollsEndpoints = false;
+        rig.watchTimeouts = patience;
         rig.backoff = new ExponentialBackoff(HOUR_US, HOUR_US, bound -> 0);
         rig.upstream((m, line) -> {});
         return rig.start();
@@ -100,7 +100,7 @@
             switch (calls.incrementAndGet()) {
                 case 1 -> line.answer("503 Down", "", "");
                 case 2 -> line.reset();
-                case 3 -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n");
+                case 3 -> line.write("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n");
                 case 4 -> line.answer("200 OK", "", SidecarFixture.list(43, false, UP));
                 default -> {}
             }
@@ -129,7 +129,7 @@
             }
         })) {
             rig.settings = rig.settings.replace("on_request", "pushed");
-            rig.asks = false;
+            rig.pollsEndpoints = false;
             rig.upstream((m, line) -> {});
             rig.start();
             rig.await("list CACHED");
@@ -150,12 +150,12 @@
                 });
                 SidecarFixture rig = new SidecarFixture((m, line) -> {})) {
             rig.upstream((m, line) -> {});
-            rig.patience = PATIENT;
+            rig.watchTimeouts = PATIENT;
             rig.start();
             rig.await("list CACHED");
             assertTrue(rig.discovery.next().path().contains("?index=41&wait="));
             rig.reload(next.address());
-            assertEquals("list FULL u0=READY", rig.told.poll(20, TimeUnit.SECONDS));
+            assertEquals("list FULL u0=READY", rig.events.poll(20, TimeUnit.SECONDS));
             assertEquals("/registry/instances", next.next().path());
             assertTrue(next.next().path().contains("?index=3&wait="));
             assertEquals(-1, rig.discovery.accepted.take().getInputStream().read(), "the old connection was left open");
@@ -211,13 +211,13 @@
     /** The list that the start brings may be old: it is not served by before discovery was asked. */
     @Test
     void aSidecarIsReadyOnceItHasAskedWhatChanged() throws Exception {
-        BlockingQueue<StubServer.Line> asked = new LinkedBlockingQueue<>();
+        BlockingQueue<StubServer.Connection> asked = new LinkedBlockingQueue<>();
         try (SidecarFixture rig = pushed(PATIENT, (m, line) -> {
             if (m.path().equals("/registry/instances?index=41&wait=0")) {
                 asked.add(line);
             }
         })) {
-            StubServer.Line first = asked.poll(20, TimeUnit.SECONDS);
+            StubServer.Connection first = asked.poll(20, TimeUnit.SECONDS);
             assertEquals(503, ready(rig));
             first.answer("200 OK", "", SidecarFixture.list(42, false, UP));
             assertEquals("list DELTA u0=READY", rig.await("list DELTA"));
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
@@ -38,17 +38,17 @@
 
     @Test
     void anErrorInOneRequestEndsThatRequestAtOnceAndNothingElse() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.onRequest = (now, r, out) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.onRequest = (now, r, out) -> {
                 if (r.id().startsWith("fault-")) {
                     FAULTS.get(Integer.parseInt(r.id().substring("fault-".length())))
                             .run();
                 }
                 out.sendAttempt(r.id(), "u0", 0);
             };
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 for (int i = 0; i < FAULTS.size(); i++) {
                     // Without an answer at once this waits for its deadline, longer than the test may take.
                     client.send(SidecarFixture.get("fault-" + i, 60_000));
@@ -63,11 +63,11 @@
     /** Ticks keep the connections in bounds: they go on after one that failed. */
     @Test
     void whatRunsAgainAndAgainIsNotEndedByAFailure() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.onRequest = (now, r, out) -> out.startTimer("break", 1_000);
-            rig.start();
-            try (StubServer.Client asking = rig.client();
-                    StubServer.Client silent = rig.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (now, r, out) -> out.startTimer("break", 1_000);
+            fixture.start();
+            try (StubServer.Client asking = fixture.client();
+                    StubServer.Client silent = fixture.client()) {
                 asking.send(SidecarFixture.get("a", 60_000));
                 // The module breaks in its timer, and what it held is answered.
                 assertEquals(502, asking.status());
--- a/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
+++ b/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
@@ -25,7 +25,7 @@
                 DatagramSocket stranger = socket();
                 DatagramSocket everyone = socket();
                 SidecarFixture rig = new SidecarFixture()) {
-            rig.peerFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
+            rig.gossipFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
             rig.onRequest = (now, r, out) -> {
                 out.sendGossip(1, new byte[5]);
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -18,8 +18,8 @@
         return SidecarFixture.get(id, 20_000).replace("X-Lane: c", "X-Lane: " + requestClass);
     }
 
-    private static void assertStarts(String start, SidecarFixture rig, String request) throws Exception {
-        try (StubServer.Client client = rig.client()) {
+    private static void assertStarts(String start, SidecarFixture fixture, String request) throws Exception {
+        try (StubServer.Client client = fixture.client()) {
             String head = client.send(request).answer().head();
             assertTrue(head.startsWith(start), head);
         }
@@ -29,8 +29,8 @@
     @Test
     void otherClassesHoldAtOnceAndRequestsUnderWayAreAnswered() throws Exception {
         CountDownLatch reloaded = new CountDownLatch(1);
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer up = rig.upstream((m, line) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer up = fixture.upstream((m, line) -> {
                 try {
                     reloaded.await();
                 } catch (InterruptedException e) {
@@ -38,21 +38,21 @@
                 }
                 line.answer("200 OK", "", m.header("X-Txn"));
             });
-            rig.start();
-            try (StubServer.Client old = rig.client()) {
+            fixture.start();
+            try (StubServer.Client old = fixture.client()) {
                 old.send(get("old", "c"));
                 up.next();
-                assertStarts("HTTP/1.1 400 ", rig, get("n0", "fresh"));
-                rig.settings = SidecarFixture.SETTINGS
+                assertStarts("HTTP/1.1 400 ", fixture, get("n0", "fresh"));
+                fixture.settings = SidecarFixture.SETTINGS
                         .replace("\"name\":\"c\"", "\"name\":\"fresh\"")
                         .replace("\"max_attempts\":4", "\"max_attempts\":1");
-                rig.reload(rig.discovery.address());
-                assertEquals("settings fresh,k", rig.await("settings"));
+                fixture.reload(fixture.discovery.address());
+                assertEquals("settings fresh,k", fixture.await("settings"));
                 reloaded.countDown();
                 assertEquals("old", old.answer().body());
-                assertStarts("HTTP/1.1 200 ", rig, get("n1", "fresh"));
-                assertStarts("HTTP/1.1 400 ", rig, get("n2", "c"));
-                rig.onOutcome = (id, outcome, done, out) -> {
+                assertStarts("HTTP/1.1 200 ", fixture, get("n1", "fresh"));
+                assertStarts("HTTP/1.1 400 ", fixture, get("n2", "c"));
+                fixture.onOutcome = (id, outcome, done, out) -> {
                     if (outcome == loadbalancer.decision.AttemptOutcome.NOT_SENT) {
                         out.fail(id);
                     } else if (!done) {
@@ -61,8 +61,8 @@
                 };
                 up.script = (m, line) -> line.answer("500 No", "", "");
                 assertEquals(502, old.send(get("n3", "fresh")).status());
-                assertEquals("outcome n3 0 ERROR false -", rig.await("outcome n3"));
-                assertEquals("outcome n3 1 NOT_SENT false -", rig.await("outcome n3"));
+                assertEquals("outcome n3 0 ERROR false -", fixture.await("outcome n3"));
+                assertEquals("outcome n3 1 NOT_SENT false -", fixture.await("outcome n3"));
             }
         }
     }
@@ -78,34 +78,35 @@
             {"\"discovery\":\"on_request\"", "\"discovery\":\"pushed\"", "'discovery'"},
             {"\"fall_multiple\":3", "\"fall_multiple\":\"three\"", "no number"},
         };
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
-            rig.start();
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+            fixture.start();
             for (String[] w : wrong) {
-                rig.settings = SidecarFixture.SETTINGS.replace(w[0], w[1]);
-                ConfigurationException e = assertThrows(ConfigurationException.class, () -> rig.reload("127.0.0.1:9"));
+                fixture.settings = SidecarFixture.SETTINGS.replace(w[0], w[1]);
+                ConfigurationException e =
+                        assertThrows(ConfigurationException.class, () -> fixture.reload("127.0.0.1:9"));
                 assertTrue(e.getMessage().contains(w[2]), e.getMessage());
             }
-            try (StubServer.Client client = rig.client()) {
+            try (StubServer.Client client = fixture.client()) {
                 assertEquals("r", client.send(get("r", "c")).answer().body());
             }
-            rig.told.forEach(t -> assertTrue(!t.startsWith("settings"), t));
+            fixture.events.forEach(t -> assertTrue(!t.startsWith("settings"), t));
         }
     }
 
     /** Where only discovery has moved, nothing that was learned is put in doubt. */
     @Test
     void settingsThatAreTheSameAreNoNews() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture();
+        try (SidecarFixture fixture = new SidecarFixture();
                 StubServer elsewhere = new StubServer((m, line) -> line.answer(
                         "200 OK",
                         "",
                         SidecarFixture.list(7, true, SidecarFixture.entry("u5", "127.0.0.1:9", "Ready", 0))))) {
-            rig.start();
-            rig.reload(elsewhere.address());
+            fixture.start();
+            fixture.reload(elsewhere.address());
             String list;
             do {
-                list = rig.told.take();
+                list = fixture.events.take();
                 assertTrue(!list.startsWith("settings"), list);
             } while (!list.startsWith("list FULL u5=READY"));
         }
--- a/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
@@ -15,9 +15,9 @@
 class GracefulShutdownTest {
     @Test
     void newConnectionsAndHalfReadRequestsAreServedAfterTheStopWasAskedFor() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
             CountDownLatch answer = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
+            fixture.upstream((m, line) -> {
                 if (m.header("X-Txn").equals("held")) {
                     try {
                         answer.await();
@@ -27,19 +27,19 @@
                 }
                 line.answer("200 OK", "", m.header("X-Txn"));
             });
-            rig.start();
+            fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (StubServer.Client held = rig.client();
-                    StubServer.Client half = rig.client();
-                    StubServer.Client idle = rig.client()) {
+            try (StubServer.Client held = fixture.client();
+                    StubServer.Client half = fixture.client();
+                    StubServer.Client idle = fixture.client()) {
                 held.send(SidecarFixture.get("held", 30_000));
-                rig.await("request held");
+                fixture.await("request held");
                 idle.send(SidecarFixture.get("before", 30_000));
                 assertEquals("before", idle.answer().body());
                 String text = SidecarFixture.get("half", 30_000);
                 half.send(text.substring(0, 30));
-                rig.sidecar.stop(stopped::countDown);
-                try (StubServer.Client fresh = rig.client()) {
+                fixture.sidecar.stop(stopped::countDown);
+                try (StubServer.Client fresh = fixture.client()) {
                     fresh.send(SidecarFixture.get("fresh", 30_000));
                     StubServer.Message m = fresh.answer();
                     assertEquals("fresh", m.body());
@@ -68,8 +68,8 @@
     @Test
     void whatWaitsInTheBacklogForDescriptorsIsServedBeforeTheEnd() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer up = rig.upstream((m, line) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer up = fixture.upstream((m, line) -> {
                 if (m.header("X-Txn").startsWith("held")) {
                     try {
                         answer.await();
@@ -81,25 +81,25 @@
             });
             // 48 for the program itself: 15 with a request on a connection of its own, and 2 idle clients, fill the
             // rest.
-            rig.sockets = 48 + 32;
-            rig.start();
+            fixture.descriptorLimit = 48 + 32;
+            fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
             StubServer.Client[] held = new StubServer.Client[15];
             for (int i = 0; i < held.length; i++) {
-                held[i] = rig.client();
+                held[i] = fixture.client();
                 held[i].send(SidecarFixture.get("held" + i, 30_000));
                 up.next();
             }
-            try (StubServer.Client idle = rig.client();
-                    StubServer.Client other = rig.client()) {
+            try (StubServer.Client idle = fixture.client();
+                    StubServer.Client other = fixture.client()) {
                 for (StubServer.Client c : new StubServer.Client[] {idle, other}) {
                     assertEquals(
                             404,
                             c.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n").status());
                 }
-                try (StubServer.Client late = rig.client()) {
+                try (StubServer.Client late = fixture.client()) {
                     late.send(SidecarFixture.get("late", 30_000));
-                    rig.sidecar.stop(stopped::countDown);
+                    fixture.sidecar.stop(stopped::countDown);
                     assertTrue(idle.ended());
                     assertTrue(other.ended());
                     assertEquals("late", late.answer().body());
@@ -117,16 +117,16 @@
     /** The kill comes a while after the longest deadline: later than it, an answer is for nobody. */
     @Test
     void whatComesDuringTheStopIsAnsweredBeforeTheKill() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((m, line) -> {});
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("before", 30_000));
-                assertTrue(remainingUs(rig.await("request before")) > 20_000_000);
-                rig.sidecar.stop(() -> {});
-                try (StubServer.Client late = rig.client()) {
+                assertTrue(remainingUs(fixture.await("request before")) > 20_000_000);
+                fixture.sidecar.stop(() -> {});
+                try (StubServer.Client late = fixture.client()) {
                     late.send(SidecarFixture.get("late", 30_000));
-                    assertTrue(remainingUs(rig.await("request late")) <= 3_700_000);
+                    assertTrue(remainingUs(fixture.await("request late")) <= 3_700_000);
                 }
             }
         }
@@ -139,12 +139,12 @@
     /** Half a request whose client has fallen silent holds up the stop no longer than a client would wait. */
     @Test
     void aClientThatFellSilentDoesNotKeepTheSidecarFromEnding() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.start();
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (StubServer.Client half = rig.client()) {
+            try (StubServer.Client half = fixture.client()) {
                 half.send("GET /api HTTP/1.1\r\nX-T");
-                rig.sidecar.stop(stopped::countDown);
+                fixture.sidecar.stop(stopped::countDown);
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
                 assertEquals(408, half.status());
             }
@@ -154,13 +154,13 @@
     /** An application that opens a connection for each request would else use up its part of the descriptors. */
     @Test
     void beyondTheSpareConnectionsAnAnswerClosesItsOwn() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.sockets = 120;
-            rig.start();
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.descriptorLimit = 120;
+            fixture.start();
             StubServer.Client[] clients = new StubServer.Client[120 / 12 + 2];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = rig.client();
+                clients[i] = fixture.client();
                 clients[i].send(SidecarFixture.get("c" + i, 30_000));
                 String says = clients[i].answer().header("Connection");
                 assertEquals(i < 120 / 12 ? null : "close", says, "connection " + i);
@@ -178,13 +178,13 @@
     /** Beyond the cap an idle connection makes room; otherwise new ones would wait for ever. */
     @Test
     void idleClientsMakeRoomForNewOnes() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.sockets = 64 + 2 * 16;
-            rig.start();
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.descriptorLimit = 64 + 2 * 16;
+            fixture.start();
             StubServer.Client[] clients = new StubServer.Client[40];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = rig.client();
+                clients[i] = fixture.client();
                 clients[i].send(SidecarFixture.get("c" + i, 30_000));
                 assertEquals(200, clients[i].status());
             }
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -23,25 +23,25 @@
 
     @Test
     void whatIsOwedGoesOutBeforeWhatIsNewAndWhatWaitedTooLongIsAnsweredAtOnce() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.onRequest = (now, r, out) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.onRequest = (now, r, out) -> {
                 if (!r.id().startsWith("held")) {
                     out.sendAttempt(r.id(), "u0", 0);
                 }
             };
-            rig.start();
-            try (StubServer.Client first = rig.client();
-                    StubServer.Client second = rig.client();
-                    StubServer.Client tooLate = rig.client();
-                    StubServer.Client inTime = rig.client()) {
+            fixture.start();
+            try (StubServer.Client first = fixture.client();
+                    StubServer.Client second = fixture.client();
+                    StubServer.Client tooLate = fixture.client();
+                    StubServer.Client inTime = fixture.client()) {
                 first.send(SidecarFixture.get("held-1", SHORT_MS + 100));
-                rig.await("request held-1");
+                fixture.await("request held-1");
                 second.send(SidecarFixture.get("held-2", SHORT_MS));
-                rig.await("request held-2");
+                fixture.await("request held-2");
                 CountDownLatch standing = new CountDownLatch(1);
                 CountDownLatch goOn = new CountDownLatch(1);
-                rig.reads.eventLoop().execute(() -> {
+                fixture.eventLoop.eventLoop().execute(() -> {
                     standing.countDown();
                     awaitUninterruptibly(goOn);
                 });
@@ -56,7 +56,7 @@
                 assertEquals(502, tooLate.status());
                 assertEquals(200, inTime.status());
                 List<String> told = new ArrayList<>();
-                rig.told.drainTo(told);
+                fixture.events.drainTo(told);
                 int began = indexOf(told, "request long ");
                 assertTrue(indexOf(told, "expired held-2") < indexOf(told, "expired held-1"), told::toString);
                 assertTrue(indexOf(told, "expired held-1") < began, told::toString);
@@ -70,25 +70,25 @@
     /** Where the loop was late by that much of late, answers leave so much earlier, up to a quarter of their time. */
     @Test
     void answersLeaveEarlierWhereTheLoopWasLate() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.onRequest = (now, r, out) -> {};
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (now, r, out) -> {};
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("before", LONG_MS));
-                assertTrue(leftUs(rig.await("request before")) > (LONG_MS - 100) * 1000);
-                rig.reads
+                assertTrue(leftUs(fixture.await("request before")) > (LONG_MS - 100) * 1000);
+                fixture.eventLoop
                         .eventLoop()
-                        .submit(() -> rig.reads.recordTick(1_000_000))
+                        .submit(() -> fixture.eventLoop.recordTick(1_000_000))
                         .sync();
             }
-            try (StubServer.Client client = rig.client()) {
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("after", LONG_MS));
-                long leftUs = leftUs(rig.await("request after"));
+                long leftUs = leftUs(fixture.await("request after"));
                 assertTrue(leftUs < (LONG_MS - 700) * 1000, "left " + leftUs);
             }
-            try (StubServer.Client client = rig.client()) {
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("quarter", 400));
-                long leftUs = leftUs(rig.await("request quarter"));
+                long leftUs = leftUs(fixture.await("request quarter"));
                 assertTrue(leftUs <= 300_000, "left " + leftUs);
             }
         }
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -52,19 +52,19 @@
     @Test
     void untilItIsOverTheSidecarIsNotReadyButARequestIsServedAndEndsIt() throws Exception {
         CountDownLatch cut = new CountDownLatch(1);
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.rehearsal = cut::countDown;
-            rig.start();
-            rig.await("list DELTA");
-            try (StubServer.Client client = rig.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.warmUpInterrupt = cut::countDown;
+            fixture.start();
+            fixture.await("list DELTA");
+            try (StubServer.Client client = fixture.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.status());
                 assertEquals(1, cut.getCount());
                 client.send(SidecarFixture.get("a1", 20_000));
                 assertEquals(200, client.status());
                 assertTrue(cut.await(20, TimeUnit.SECONDS));
-                rig.sidecar.rehearsed();
+                fixture.sidecar.rehearsed();
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(200, client.status());
             }
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -29,7 +29,11 @@
 import loadbalancer.settings.LoadBalancerSettings;
 import loadbalancer.settings.RequestClass;
 
-/** A sidecar in this process, with a module that does what the test says and writes down what it is told. */
+/**
+ * A real sidecar in this process, on ephemeral loopback ports, with stub servers as its endpoints and discovery. Its
+ * load balancer is scripted by the test and records each of its calls as a line in {@link #events}. Fields are to be
+ * set before {@link #start}, except {@link #onRequest}, {@link #onOutcome} and {@link #settings}.
+ */
 public final class SidecarFixture implements AutoCloseable {
     public static final String SETTINGS =
             """
@@ -44,83 +48,93 @@
              "load_info":{"how":"inline","fields":["busy_reqs","pending","cpu_share"]},
              "something_new":{"a":[{"b":null}]}}""";
 
-    /** What the module does with a request. */
-    public interface OnRequest {
-        void take(long now, Request request, LoadBalancerActions out);
+    /** What the load balancer does with a request; called on the event loop. */
+    public interface RequestHandler {
+        void handle(long now, Request request, LoadBalancerActions out);
     }
 
-    /** What the module does when an attempt has ended without success. */
-    public interface OnOutcome {
-        void take(String request, AttemptOutcome outcome, boolean done, LoadBalancerActions out);
+    /** What the load balancer does with the result of an attempt; called on the event loop. */
+    public interface OutcomeHandler {
+        void handle(String requestId, AttemptOutcome outcome, boolean done, LoadBalancerActions out);
     }
 
-    public final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    public final List<StubServer> peers = new ArrayList<>();
+    /** One line for each call of the load balancer: its kind, the identifier and the values that tests look at. */
+    public final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    /** The endpoints of the list that the sidecar starts with, with the identifiers {@code u0}, {@code u1}, ... */
+    public final List<StubServer> endpointServers = new ArrayList<>();
+
     public final StubServer discovery;
-    public volatile OnRequest onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
-    public volatile OnOutcome onOutcome = (id, outcome, done, out) -> {
+    public volatile RequestHandler onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
+    public volatile OutcomeHandler onOutcome = (id, outcome, done, out) -> {
         if (!done) {
             out.fail(id);
         }
     };
     public Sidecar sidecar;
-    public String peerFields = "";
+    /** Fields of the configuration file for gossip, each with a comma behind it. */
+    public String gossipFields = "";
+
     public String settings = SETTINGS;
-    /** Whether the module asks for a watch. */
-    public boolean asks = true;
+    /** Whether the load balancer polls discovery at the start and after each failed call. */
+    public boolean pollsEndpoints = true;
 
-    public int sockets = 1024;
-    public WatchTimeouts patience = WatchTimeouts.USUAL;
+    public int descriptorLimit = 1024;
+    public WatchTimeouts watchTimeouts = WatchTimeouts.USUAL;
     public ExponentialBackoff backoff = DiscoveryWatch.defaultBackoff();
     private volatile LoadBalancerActions actions;
-    public final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(new MonotonicClock());
+    public final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(new MonotonicClock());
 
-    public SidecarFixture(StubServer.Script discovers) throws IOException {
-        discovery = new StubServer(discovers);
+    public SidecarFixture(StubServer.Script discoveryScript) throws IOException {
+        discovery = new StubServer(discoveryScript);
     }
 
     /** Discovery where nothing changes: every watch that may wait is kept waiting. */
     public SidecarFixture() throws IOException {
-        this((m, line) -> {
-            if (m.path().endsWith("&wait=0")) {
-                line.answer("200 OK", "", list(41, false));
+        this((request, connection) -> {
+            if (request.path().endsWith("&wait=0")) {
+                connection.answer("200 OK", "", list(41, false));
             }
         });
     }
 
+    /** Adds an endpoint to the list that the sidecar starts with. */
     public StubServer upstream(StubServer.Script script) throws IOException {
-        StubServer p = new StubServer(script);
-        peers.add(p);
-        return p;
+        StubServer server = new StubServer(script);
+        endpointServers.add(server);
+        return server;
     }
 
-    public static String entry(String id, String address, String lifecycle, long startedAtMs) {
+    /** One entry of an endpoint list, in the form of discovery. */
+    public static String entry(String id, String address, String lifecycle, long startedAtMillis) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"za\",\"machineType\":\"k\","
-                + "\"cell\":1,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":" + startedAtMs + "}";
+                + "\"cell\":1,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":" + startedAtMillis
+                + "}";
     }
 
-    public static String list(long generation, boolean whole, String... entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":[" + String.join(",", entries)
+    /** An endpoint list in the form of discovery: a full one where {@code reset}, else a delta. */
+    public static String list(long generation, boolean reset, String... entries) {
+        return "{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":[" + String.join(",", entries)
                 + "]}";
     }
 
-    public String known() {
+    private String initialEndpointList() {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < peers.size(); i++) {
-            entries.add(entry("u" + i, peers.get(i).address(), "Ready", 0));
+        for (int i = 0; i < endpointServers.size(); i++) {
+            entries.add(entry("u" + i, endpointServers.get(i).address(), "Ready", 0));
         }
         return list(41, true, entries.toArray(String[]::new));
     }
 
-    private interface Reading {
-        SidecarConfiguration from(Map<String, String> environment) throws ConfigurationException;
+    private interface ConfigurationSource {
+        SidecarConfiguration read(Map<String, String> environment) throws ConfigurationException;
     }
 
-    private static SidecarConfiguration read(String json, Reading reading) throws IOException, ConfigurationException {
+    private static SidecarConfiguration read(String json, ConfigurationSource source)
+            throws IOException, ConfigurationException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, json);
-            return reading.from(Map.of("BALANCER_CONFIG", file.toString()));
+            return source.read(Map.of("BALANCER_CONFIG", file.toString()));
         } finally {
             Files.delete(file);
         }
@@ -130,34 +144,37 @@
         return read(json, SidecarConfiguration::read);
     }
 
-    private String json(String discoveryAddress) {
+    private String configuration(String discoveryAddress) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discoveryAddress
-                + "\",\"seed\":\"8c1f30d27a5be964\"," + peerFields + "\"known\":" + known()
-                + ",\"limits\":{\"sockets\":" + sockets + "},\"settings\":" + settings + "}";
+                + "\",\"seed\":\"8c1f30d27a5be964\"," + gossipFields + "\"known\":" + initialEndpointList()
+                + ",\"limits\":{\"sockets\":" + descriptorLimit + "},\"settings\":" + settings + "}";
     }
 
-    /** As on SIGHUP, with a file that names this discovery and has the settings that the rig has now. */
+    /** Reloads the configuration, as on SIGHUP, with this discovery address and the current {@link #settings}. */
     public void reload(String discoveryAddress) throws Exception {
         sidecar.reconfigure(read(
-                json(discoveryAddress), environment -> SidecarConfiguration.reload(environment, sidecar.settings())));
+                configuration(discoveryAddress),
+                environment -> SidecarConfiguration.reload(environment, sidecar.settings())));
     }
 
-    /** Set before the start: the sidecar is not ready, and this runs with each request that it takes all the same. */
-    public Runnable rehearsal;
+    /**
+     * Where set, the sidecar is not ready until its warm-up is completed, and runs this with each request until then.
+     */
+    public Runnable warmUpInterrupt;
 
     public SidecarFixture start() throws Exception {
-        SidecarConfiguration config = config(json(discovery.address()));
+        SidecarConfiguration config = config(configuration(discovery.address()));
         sidecar = new Sidecar(
                 config,
-                (c, now, out) -> {
-                    actions = out;
-                    return new Recorder();
+                (configuration, now, loadBalancerActions) -> {
+                    actions = loadBalancerActions;
+                    return new RecordingLoadBalancer();
                 },
-                reads,
-                patience,
+                eventLoop,
+                watchTimeouts,
                 backoff);
-        if (rehearsal != null) {
-            sidecar.notReadyBefore(rehearsal);
+        if (warmUpInterrupt != null) {
+            sidecar.notReadyBefore(warmUpInterrupt);
         }
         sidecar.start();
         return this;
@@ -171,19 +188,20 @@
         return new StubServer.Client(address());
     }
 
-    public static String get(String id, long remainingMs) {
+    /** An idempotent request of class {@code c}. */
+    public static String get(String id, long remainingMillis) {
         return "GET /api/slots?day=1 HTTP/1.1\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Lane: c\r\nX-Remaining-Ms: "
-                + remainingMs + "\r\n\r\n";
+                + remainingMillis + "\r\n\r\n";
     }
 
-    /** Waits until the module was told something that starts so. */
-    public String await(String start) throws InterruptedException {
-        for (String line; (line = told.poll(20, TimeUnit.SECONDS)) != null; ) {
-            if (line.startsWith(start)) {
-                return line;
+    /** Removes events up to the first that begins with {@code prefix} and returns it; fails after 20 s. */
+    public String await(String prefix) throws InterruptedException {
+        for (String event; (event = events.poll(20, TimeUnit.SECONDS)) != null; ) {
+            if (event.startsWith(prefix)) {
+                return event;
             }
         }
-        throw new AssertionError("the module was never told '" + start + "'");
+        throw new AssertionError("no event begins with '" + prefix + "'");
     }
 
     @Override
@@ -192,26 +210,28 @@
             sidecar.end();
         }
         discovery.close();
-        for (StubServer p : peers) {
-            p.close();
+        for (StubServer server : endpointServers) {
+            server.close();
         }
     }
 
-    private final class Recorder implements LoadBalancer {
+    private final class RecordingLoadBalancer implements LoadBalancer {
         @Override
         public void onEndpointList(long now, EndpointListType kind, List<Endpoint> entries) {
-            told.add("list " + kind + " "
+            events.add("list " + kind + " "
                     + String.join(
                             ",",
-                            entries.stream().map(u -> u.id() + "=" + u.state()).toList()));
-            if (asks && (kind == EndpointListType.CACHED || kind == EndpointListType.FAILED)) {
+                            entries.stream()
+                                    .map(endpoint -> endpoint.id() + "=" + endpoint.state())
+                                    .toList()));
+            if (pollsEndpoints && (kind == EndpointListType.CACHED || kind == EndpointListType.FAILED)) {
                 actions.pollEndpoints();
             }
         }
 
         @Override
         public void onSettings(long now, LoadBalancerSettings settings) {
-            told.add("settings "
+            events.add("settings "
                     + String.join(
                             ",",
                             settings.requestClasses().stream()
@@ -221,42 +241,42 @@
 
         @Override
         public void onRequest(long now, Request request) {
-            told.add("request " + request.id() + " " + request.remainingMicros());
-            onRequest.take(now, request, actions);
+            events.add("request " + request.id() + " " + request.remainingMicros());
+            onRequest.handle(now, request, actions);
         }
 
         @Override
         public void onAttemptOutcome(long now, AttemptResult result) {
             LoadReport report = result.loadReport();
-            told.add("outcome " + result.requestId() + " " + result.attempt() + " " + result.outcome() + " "
+            events.add("outcome " + result.requestId() + " " + result.attempt() + " " + result.outcome() + " "
                     + result.requestDone() + " " + (report == null ? "-" : report.inFlight()));
-            onOutcome.take(result.requestId(), result.outcome(), result.requestDone(), actions);
+            onOutcome.handle(result.requestId(), result.outcome(), result.requestDone(), actions);
         }
 
         @Override
-        public void onStreamStart(long now, String request, int attempt, String upstream, long latencyUs) {}
+        public void onStreamStart(long now, String requestId, int attempt, String endpointId, long latencyMicros) {}
 
         @Override
         public void onHealthCheck(
-                long now, String upstream, AttemptOutcome outcome, long latencyUs, LoadReport report) {
-            told.add("probe " + upstream + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
+                long now, String endpointId, AttemptOutcome outcome, long latencyMicros, LoadReport report) {
+            events.add("probe " + endpointId + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
         }
 
         @Override
-        public void onRequestExpired(long now, String request) {
-            told.add("expired " + request);
+        public void onRequestExpired(long now, String requestId) {
+            events.add("expired " + requestId);
         }
 
         @Override
-        public void onGossip(long now, int peer, byte[] message) {
-            told.add("peer " + peer + " " + message.length);
+        public void onGossip(long now, int sidecarIndex, byte[] message) {
+            events.add("peer " + sidecarIndex + " " + message.length);
         }
 
         @Override
-        public void onTimer(long now, String mark) {
-            told.add("timer " + mark);
-            if (mark.equals("break")) {
-                throw new IllegalStateException("as the test wants");
+        public void onTimer(long now, String key) {
+            events.add("timer " + key);
+            if (key.equals("break")) {
+                throw new IllegalStateException("thrown by the test");
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/testing/StubServer.java
+++ b/src/test/java/loadbalancer/proxy/testing/StubServer.java
@@ -7,6 +7,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -14,39 +15,42 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on loopback that answers each message as the test says: an upstream or discovery. */
+/**
+ * An HTTP server on an ephemeral loopback port that answers each request as its script says: an endpoint or discovery.
+ * Each connection has a thread of its own, so a script may block. Closing it closes its connections.
+ */
 public final class StubServer implements AutoCloseable {
-    /** What a test does with one message; to write nothing leaves the sender waiting. */
+    /** Handles one request on the thread of its connection; where it writes nothing the sender is left waiting. */
     public interface Script {
-        void handle(Message message, Line line) throws IOException;
+        void handle(Message request, Connection connection) throws IOException;
     }
 
-    /** A request as it was received. */
+    /** A request or response as it was received. */
     public record Message(String head, String body) {
         public String path() {
             return head.split(" ")[1];
         }
 
-        /** Null where there is no such header. */
+        /** The value of the header, whose name is compared without case; null where there is no such header. */
         public String header(String name) {
             return head.lines()
                     .skip(1)
-                    .filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
-                    .map(l -> l.substring(name.length() + 1).trim())
+                    .filter(line -> line.toLowerCase().startsWith(name.toLowerCase() + ":"))
+                    .map(line -> line.substring(name.length() + 1).trim())
                     .findFirst()
                     .orElse(null);
         }
     }
 
-    /** One connection as its server sees it. */
-    public record Line(Socket socket) {
-        public void raw(String text) throws IOException {
+    /** The server's side of one connection. */
+    public record Connection(Socket socket) {
+        public void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
         }
 
         public void answer(String status, String headers, String body) throws IOException {
-            raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+            write("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         public void reset() throws IOException {
@@ -64,11 +68,11 @@
     public StubServer(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        start(this::accept);
+        startDaemon(this::accept);
     }
 
-    private static void start(Runnable work) {
-        Thread thread = new Thread(work);
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
@@ -77,12 +81,13 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
+    /** The next request; fails after 20 s. */
     public Message next() throws InterruptedException {
-        Message m = messages.poll(20, TimeUnit.SECONDS);
-        if (m == null) {
-            throw new AssertionError("no message came");
+        Message request = messages.poll(20, TimeUnit.SECONDS);
+        if (request == null) {
+            throw new AssertionError("no request was received");
         }
-        return m;
+        return request;
     }
 
     private void accept() {
@@ -91,21 +96,21 @@
                 Socket socket = server.accept();
                 sockets.add(socket);
                 accepted.add(socket);
-                start(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
-            // closed
+            // The server is closed.
         }
     }
 
     private void serve(Socket socket) {
         try {
-            for (Message m; (m = read(socket.getInputStream())) != null; ) {
-                messages.add(m);
-                script.handle(m, new Line(socket));
+            for (Message request; (request = read(socket.getInputStream())) != null; ) {
+                messages.add(request);
+                script.handle(request, new Connection(socket));
             }
         } catch (IOException e) {
-            // the other side ended
+            // The connection is closed.
         }
     }
 
@@ -113,23 +118,23 @@
     static Message read(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int c = in.read();
-            if (c < 0) {
+            int character = in.read();
+            if (character < 0) {
                 return null;
             }
-            head.append((char) c);
+            head.append((char) character);
         }
-        Message m = new Message(head.toString(), "");
-        String length = m.header("Content-Length");
+        Message message = new Message(head.toString(), "");
+        String length = message.header("Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return new Message(m.head, new String(body, StandardCharsets.ISO_8859_1));
+        return new Message(message.head, new String(body, StandardCharsets.ISO_8859_1));
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : sockets) {
-            s.close();
+        for (Socket socket : sockets) {
+            socket.close();
         }
     }
 
@@ -137,8 +142,8 @@
     public static final class Client implements AutoCloseable {
         public final Socket socket;
 
-        public Client(InetSocketAddress to) throws IOException {
-            socket = new Socket(to.getAddress(), to.getPort());
+        public Client(InetSocketAddress address) throws IOException {
+            socket = new Socket(address.getAddress(), address.getPort());
             socket.setSoTimeout(20_000);
         }
 
@@ -149,24 +154,25 @@
             return this;
         }
 
-        /** The next answer; null where the connection ends without one. */
+        /** The next response; null where the connection is closed without one. */
         public Message answer() throws IOException {
             return read(socket.getInputStream());
         }
 
-        /** Waits for the end of the connection; false where something else comes first. */
+        /** Waits until the sidecar has closed the connection; false where it sends something first. */
         public boolean ended() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
-            } catch (java.net.SocketException e) {
-                // Closed with something of ours unread: an end as well.
+            } catch (SocketException e) {
+                // Reset, as it was closed with unread bytes of this client.
                 return true;
             }
         }
 
+        /** The status of the next response; -1 where the connection is closed without one. */
         public int status() throws IOException {
-            Message m = answer();
-            return m == null ? -1 : Integer.parseInt(m.head.split(" ")[1]);
+            Message response = answer();
+            return response == null ? -1 : Integer.parseInt(response.head.split(" ")[1]);
         }
 
         @Override
--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -31,7 +31,7 @@
 
     private static void spoilt(String answer) throws Exception {
         try {
-            outcome("MALFORMED_RESPONSE false -", 502, (m, line) -> line.raw(answer));
+            outcome("MALFORMED_RESPONSE false -", 502, (m, line) -> line.write(answer));
         } catch (AssertionError e) {
             throw new AssertionError(
                     "taken for an answer: " + answer.lines().limit(4).toList(), e);
@@ -69,7 +69,7 @@
         outcome("RESET false -", 502, (m, line) -> line.reset());
         outcome("RESET false -", 502, (m, line) -> line.socket().close());
         outcome("RESET false -", 502, (m, line) -> {
-            line.raw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+            line.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             line.socket().close();
         });
     }
@@ -104,7 +104,7 @@
             spoilt(answer);
         }
         outcome("MALFORMED_RESPONSE false -", 502, (m, line) -> {
-            line.raw(ok + "\r\nslot");
+            line.write(ok + "\r\nslot");
             line.socket().close();
         });
     }
@@ -120,7 +120,7 @@
         }) {
             try (SidecarFixture rig = new SidecarFixture()) {
                 StubServer up = rig.upstream((m, line) ->
-                        line.raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + m.header("X-Txn") + behind));
+                        line.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + m.header("X-Txn") + behind));
                 rig.start();
                 try (StubServer.Client client = rig.client()) {
                     for (String id : new String[] {"a1", "a2", "a3"}) {
@@ -145,7 +145,7 @@
     void anAnswerThatComesInPiecesIsWaitedFor() throws Exception {
         outcome("OK true -", 200, (m, line) -> {
             for (String piece : "HTTP/1.1 200 OK|\r\nContent-|Length: 4\r\n|\r\ns|l|o|t".split("[|]")) {
-                line.raw(piece);
+                line.write(piece);
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
             }
         });
@@ -155,8 +155,8 @@
     @Test
     void interimAnswersAreWaitedThrough() throws Exception {
         outcome("OK true -", 200, (m, line) -> {
-            line.raw("HTTP/1.1 100 Continue\r\n\r\n");
-            line.raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
+            line.write("HTTP/1.1 100 Continue\r\n\r\n");
+            line.write("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
             line.answer("200 OK", "", "slot");
         });
     }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -231,7 +231,7 @@
      */
     @Test
     void aSecondAnswerThatComesLateIsServedToNobody() throws Exception {
-        BlockingQueue<StubServer.Line> lines = new LinkedBlockingQueue<>();
+        BlockingQueue<StubServer.Connection> lines = new LinkedBlockingQueue<>();
         try (StubServer up = new StubServer((m, line) -> {
             lines.add(line);
             if (lines.size() == 1) {
