--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -1,7 +1,7 @@
 package loadbalancer;
 
 import java.util.Arrays;
-import loadbalancer.proxy.lifecycle.Sidecar;
+import loadbalancer.proxy.lifecycle.SidecarProcess;
 import loadbalancer.simulation.FleetCostCommand;
 import loadbalancer.simulator.SimulatorHost;
 import picocli.CommandLine;
@@ -19,7 +19,7 @@
         }
         if (args.length == 1 && args[0].equals("serve")) {
             // Not by exit, which would wait for a good end of what never began.
-            Runtime.getRuntime().halt(Sidecar.serve(System.getenv()));
+            Runtime.getRuntime().halt(SidecarProcess.serve(System.getenv()));
         }
         if (args.length > 0 && args[0].equals("fleet-cost")) {
             System.exit(new CommandLine(new FleetCostCommand()).execute(Arrays.copyOfRange(args, 1, args.length)));
--- a/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
@@ -1,54 +1,74 @@
 package loadbalancer.proxy.configuration;
 
 import java.util.HashSet;
+import java.util.List;
 import java.util.Set;
 import loadbalancer.settings.EndpointRules;
 import loadbalancer.settings.LoadBalancerSettings;
 import loadbalancer.settings.RequestClass;
+import loadbalancer.settings.RequestLimits;
 
 /**
- * Whether settings may take the place of those in force. They are checked whole before any of them is used: a sidecar
- * that serves has something to lose, one that starts has not.
+ * Checks settings that are to replace those in force, before any of them is used. Messages name the settings as the
+ * configuration file does. Settings of a start are not checked: there is nothing in force that they could damage.
  */
 final class SettingsValidator {
     private SettingsValidator() {}
 
-    /** What is wrong first, by the name it has in the configuration; null where nothing is. */
-    static String wrong(LoadBalancerSettings fresh, LoadBalancerSettings inForce) {
-        if (fresh.polledDiscovery() != inForce.polledDiscovery()) {
-            return "'discovery' can't change while it runs";
-        }
-        if (fresh.sidecarCount() < 1 || fresh.sidecarIndex() < 0 || fresh.sidecarIndex() >= fresh.sidecarCount()) {
-            return "'me' is not one of 'balancers'";
-        }
-        if (fresh.requestClasses().isEmpty()) {
-            return "'profiles' is empty";
-        }
+    /** @throws ConfigurationException naming the first setting that is out of its range or can't be changed */
+    static void validate(LoadBalancerSettings reloaded, LoadBalancerSettings inForce) throws ConfigurationException {
+        require(
+                reloaded.polledDiscovery() == inForce.polledDiscovery(),
+                "'discovery' can't change while it runs: restart the sidecar to change it");
+        require(
+                reloaded.sidecarCount() >= 1
+                        && reloaded.sidecarIndex() >= 0
+                        && reloaded.sidecarIndex() < reloaded.sidecarCount(),
+                "'me' is not one of 'balancers': it must be from 0 to 'balancers' - 1");
+        validateRequestClasses(reloaded.requestClasses());
+        validateEndpointRules(reloaded.rules());
+        validateLimits(reloaded.limits());
+    }
+
+    private static void validateRequestClasses(List<RequestClass> requestClasses) throws ConfigurationException {
+        require(!requestClasses.isEmpty(), "'profiles' is empty: at least one is needed");
         Set<String> names = new HashSet<>();
-        for (RequestClass c : fresh.requestClasses()) {
-            if (!names.add(c.name())) {
-                return "'profiles' names '" + c.name() + "' twice";
-            }
-            if (c.latencyObjectiveMicros() <= 0 || c.deadlineMicros() <= 0) {
-                return "'profiles' leaves '" + c.name() + "' no time";
-            }
-            if (!(c.priorityWeight() > 0)) {
-                return "'profiles' gives '" + c.name() + "' no worth";
-            }
-        }
-        EndpointRules r = fresh.rules();
-        if (!(r.slowStartInitialRatio() > 0 && r.slowStartInitialRatio() <= 1)
-                || r.slowStartMicros() < 0
-                || !(r.overloadMultiple() > 0)
-                || r.overloadWindowMicros() <= 0
-                || r.drainGraceMicros() < 0) {
-            return "'rules' are out of their ranges";
+        for (RequestClass requestClass : requestClasses) {
+            String name = "'" + requestClass.name() + "'";
+            require(names.add(requestClass.name()), "'profiles' names " + name + " twice");
+            require(
+                    requestClass.latencyObjectiveMicros() > 0 && requestClass.deadlineMicros() > 0,
+                    "'profiles' leaves " + name + " no time: 'objective_us' and 'give_up_us' must be above 0");
+            require(
+                    requestClass.priorityWeight() > 0,
+                    "'profiles' gives " + name + " no weight: 'importance' must be above 0");
         }
-        if (fresh.limits().maxAttempts() < 1
-                || fresh.limits().connectTimeoutMicros() <= 0
-                || fresh.limits().connectionIdleTimeoutMicros() <= 0) {
-            return "'limits' are out of their ranges";
+    }
+
+    private static void validateEndpointRules(EndpointRules rules) throws ConfigurationException {
+        require(
+                rules.slowStartInitialRatio() > 0
+                        && rules.slowStartInitialRatio() <= 1
+                        && rules.slowStartMicros() >= 0
+                        && rules.overloadMultiple() > 0
+                        && rules.overloadWindowMicros() > 0
+                        && rules.drainGraceMicros() >= 0,
+                "'rules' are out of their ranges: 'cold_share' must be above 0 and at most 1, 'fall_multiple' and"
+                        + " 'fall_us' above 0, 'ramp_time_us' and 'drain_grace_us' at least 0");
+    }
+
+    private static void validateLimits(RequestLimits limits) throws ConfigurationException {
+        require(
+                limits.maxAttempts() >= 1
+                        && limits.connectTimeoutMicros() > 0
+                        && limits.connectionIdleTimeoutMicros() > 0,
+                "'limits' are out of their ranges: 'max_attempts' must be at least 1, 'dial_timeout_us' and"
+                        + " 'conn_idle_us' above 0");
+    }
+
+    private static void require(boolean valid, String message) throws ConfigurationException {
+        if (!valid) {
+            throw new ConfigurationException("configuration, settings: " + message);
         }
-        return null;
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
@@ -0,0 +1,160 @@
+package loadbalancer.proxy.configuration;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.InvalidPathException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.input.InvalidSettingsException;
+import loadbalancer.input.SettingsReader;
+import loadbalancer.proxy.protocol.EndpointList;
+import loadbalancer.proxy.protocol.JsonObject;
+import loadbalancer.settings.LoadBalancerSettings;
+
+/**
+ * Reads the configuration file and the environment variables that override it. The names of both are known here alone.
+ * Blocks on the file, so it must not be called on an event loop.
+ */
+public final class SidecarConfigurationReader {
+    private static final String FILE_VARIABLE = "BALANCER_CONFIG";
+    private static final String NAME_VARIABLE = "BALANCER_NAME";
+    private static final String LISTEN_VARIABLE = "BALANCER_LISTEN";
+    private static final String DISCOVERY_VARIABLE = "BALANCER_DISCOVERY";
+
+    private static final String NAME = "name";
+    private static final String LISTEN_ADDRESS = "listen";
+    private static final String DISCOVERY_ADDRESS = "discovery";
+    private static final String SEED = "seed";
+    private static final String LIMITS = "limits";
+    private static final String DESCRIPTOR_LIMIT = "sockets";
+    private static final String GOSSIP_LISTEN_ADDRESS = "peer_listen";
+    private static final String GOSSIP_PEERS = "peers";
+    private static final String GOSSIP_BROADCAST_ADDRESS = "peers_all";
+    private static final String INITIAL_ENDPOINTS = "known";
+    private static final String SETTINGS = "settings";
+
+    private static final String DEFAULT_NAME = "sidecar";
+    private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
+
+    private final JsonObject file;
+    private final Map<String, String> environment;
+
+    private SidecarConfigurationReader(JsonObject file, Map<String, String> environment) {
+        this.file = file;
+        this.environment = environment;
+    }
+
+    /**
+     * Reads the configuration for a start.
+     *
+     * @throws ConfigurationException if the file can't be read or a field is missing or malformed
+     */
+    public static SidecarConfiguration read(Map<String, String> environment) throws ConfigurationException {
+        byte[] text = readFile(environment);
+        try {
+            return new SidecarConfigurationReader(JsonObject.parse(text), environment).configuration();
+        } catch (IllegalArgumentException e) {
+            throw new ConfigurationException("configuration: " + e.getMessage());
+        } catch (InvalidSettingsException e) {
+            throw new ConfigurationException("configuration, settings: " + e.getMessage());
+        }
+    }
+
+    /**
+     * Reads the configuration for a running sidecar. The file's discovery address overrides the environment's, which is
+     * that of the start.
+     *
+     * @throws ConfigurationException as for {@link #read}, or if the settings can't replace those in force
+     */
+    public static SidecarConfiguration reload(Map<String, String> environment, LoadBalancerSettings inForce)
+            throws ConfigurationException {
+        Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove(DISCOVERY_VARIABLE);
+        SidecarConfiguration reloaded = read(withoutDiscovery);
+        SettingsValidator.validate(reloaded.settings(), inForce);
+        return reloaded;
+    }
+
+    private static byte[] readFile(Map<String, String> environment) throws ConfigurationException {
+        String path = environment.get(FILE_VARIABLE);
+        if (path == null || path.isEmpty()) {
+            throw new ConfigurationException(
+                    FILE_VARIABLE + " is not set: it must hold the path of the configuration file");
+        }
+        try {
+            return Files.readAllBytes(Path.of(path));
+        } catch (IOException | InvalidPathException e) {
+            throw new ConfigurationException(FILE_VARIABLE + " names a file that can't be read: " + e);
+        }
+    }
+
+    private SidecarConfiguration configuration() {
+        Map<String, String> settingsText = file.object(SETTINGS).flat();
+        LoadBalancerSettings settings = new SettingsReader(settingsText).read();
+        return new SidecarConfiguration(
+                environment.getOrDefault(NAME_VARIABLE, file.textOr(NAME, DEFAULT_NAME)),
+                address(LISTEN_VARIABLE, LISTEN_ADDRESS),
+                address(DISCOVERY_VARIABLE, DISCOVERY_ADDRESS),
+                seed(),
+                descriptorLimit(),
+                addressOrNull(GOSSIP_LISTEN_ADDRESS),
+                gossipPeers(),
+                addressOrNull(GOSSIP_BROADCAST_ADDRESS),
+                initialEndpoints(),
+                settingsText,
+                settings);
+    }
+
+    private List<InetSocketAddress> gossipPeers() {
+        List<InetSocketAddress> peers = new ArrayList<>();
+        for (String peer : file.textsOrNone(GOSSIP_PEERS)) {
+            peers.add(parseAddress(GOSSIP_PEERS, peer));
+        }
+        return peers;
+    }
+
+    private int descriptorLimit() {
+        if (!file.has(LIMITS)) {
+            return DEFAULT_DESCRIPTOR_LIMIT;
+        }
+        return (int) file.object(LIMITS).numberOr(DESCRIPTOR_LIMIT, DEFAULT_DESCRIPTOR_LIMIT);
+    }
+
+    private EndpointList initialEndpoints() {
+        try {
+            return EndpointList.parse(file.object(INITIAL_ENDPOINTS));
+        } catch (IllegalArgumentException e) {
+            throw new IllegalArgumentException("'" + INITIAL_ENDPOINTS + "': " + e.getMessage());
+        }
+    }
+
+    private InetSocketAddress address(String variable, String field) {
+        String overriding = environment.get(variable);
+        return overriding == null ? parseAddress(field, file.text(field)) : parseAddress(variable, overriding);
+    }
+
+    private InetSocketAddress addressOrNull(String field) {
+        return file.has(field) ? parseAddress(field, file.text(field)) : null;
+    }
+
+    private static InetSocketAddress parseAddress(String source, String text) {
+        try {
+            return EndpointList.parseAddress(text);
+        } catch (IllegalArgumentException e) {
+            throw new IllegalArgumentException("'" + source + "' is no address: '" + text + "'");
+        }
+    }
+
+    private long seed() {
+        String text = file.text(SEED);
+        try {
+            return Long.parseUnsignedLong(text, 16);
+        } catch (NumberFormatException e) {
+            throw new IllegalArgumentException("'" + SEED + "' is no hexadecimal number: '" + text + "'");
+        }
+    }
+}
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -2,47 +2,49 @@
 
 import java.util.Map;
 import loadbalancer.proxy.configuration.ConfigurationException;
-import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.configuration.SidecarConfigurationReader;
 import loadbalancer.proxy.observability.SidecarLog;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
 /**
- * Rereads the configuration on SIGHUP, which would end the program if nobody handled it: so from the first line on,
- * also before there is a sidecar to tell. The file is read on the signal's own thread; the loop only gets the result.
+ * Reloads the configuration on SIGHUP. Installed first thing, as an unhandled SIGHUP ends the process; a signal that
+ * comes before there is a sidecar is kept until {@link #attach}. The file is read on the signal's own thread, so that
+ * the event loop only receives the validated result.
  */
 final class ConfigurationReloader {
     private final Map<String, String> environment;
     private Sidecar sidecar;
-    private boolean wanted;
+    private boolean reloadPending;
 
     ConfigurationReloader(Map<String, String> environment) {
         this.environment = environment;
-        if (Signal.handle(new Signal("HUP"), signal -> asked()) == SignalHandler.SIG_IGN) {
-            // Java keeps what it was started with, as by nohup: no handler can change that.
+        if (Signal.handle(new Signal("HUP"), signal -> onSignal()) == SignalHandler.SIG_IGN) {
+            // Java leaves a signal ignored that was so when it was started, as by nohup: no handler changes that.
             SidecarLog.info("SIGHUP is ignored by who started this program: no new configuration will be read");
         }
     }
 
-    private synchronized void asked() {
+    private synchronized void onSignal() {
         SidecarLog.info("asked to read the configuration again");
-        wanted = true;
-        go();
+        reloadPending = true;
+        reloadIfPending();
     }
 
-    synchronized void serving(Sidecar started) {
+    /** From now on reloads go to this sidecar, one that is pending at once. */
+    synchronized void attach(Sidecar started) {
         sidecar = started;
-        go();
+        reloadIfPending();
     }
 
-    /** A file that can't be used changes nothing: what the sidecar has still works. */
-    private void go() {
-        if (sidecar == null || !wanted) {
+    /** An invalid configuration changes nothing: the one in force still works. */
+    private void reloadIfPending() {
+        if (sidecar == null || !reloadPending) {
             return;
         }
-        wanted = false;
+        reloadPending = false;
         try {
-            sidecar.reconfigure(SidecarConfiguration.reload(environment, sidecar.settings()));
+            sidecar.applyConfiguration(SidecarConfigurationReader.reload(environment, sidecar.settings()));
         } catch (ConfigurationException e) {
             SidecarLog.info("goes on as before: " + e.getMessage());
         }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
@@ -0,0 +1,126 @@
+package loadbalancer.proxy.lifecycle;
+
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.LoadBalancerActions;
+import loadbalancer.decision.LoadReport;
+import loadbalancer.proxy.client.RequestDispatcher;
+import loadbalancer.proxy.discovery.DiscoveryWatch;
+import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.gossip.GossipTransport;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.upstream.UpstreamCall;
+import loadbalancer.proxy.upstream.UpstreamConnectionPool;
+
+/**
+ * Carries out the decisions of the load balancer: hands each to the part of the sidecar that it concerns. Used on the
+ * event loop only.
+ */
+final class DecisionExecutor implements LoadBalancerActions {
+    /** A load report that takes longer says nothing of the present load. */
+    private static final long HEALTH_CHECK_TIMEOUT_MICROS = 50_000;
+
+    private static final String LOAD_REPORT_PATH = "/stats";
+
+    private final EventLoop loop;
+    private final MonotonicClock clock;
+    private final LoadBalancerExecutor loadBalancer;
+    private final RequestDispatcher requests;
+    private final UpstreamConnectionPool upstreams;
+    private final DiscoveryWatch discovery;
+    private final GossipTransport gossip;
+
+    DecisionExecutor(
+            ReadTrackingEventLoop eventLoop,
+            LoadBalancerExecutor loadBalancer,
+            RequestDispatcher requests,
+            UpstreamConnectionPool upstreams,
+            DiscoveryWatch discovery,
+            GossipTransport gossip) {
+        loop = eventLoop.eventLoop();
+        clock = eventLoop.clock();
+        this.loadBalancer = loadBalancer;
+        this.requests = requests;
+        this.upstreams = upstreams;
+        this.discovery = discovery;
+        this.gossip = gossip;
+    }
+
+    @Override
+    public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
+        requests.sendAttempt(requestId, endpointId, deadlineMicros);
+    }
+
+    @Override
+    public void reject(String requestId, long retryAfterMicros) {
+        requests.reject(requestId, retryAfterMicros);
+    }
+
+    @Override
+    public void fail(String requestId) {
+        requests.fail(requestId);
+    }
+
+    @Override
+    public void cancelAttempt(String requestId, int attempt) {
+        requests.cancelAttempt(requestId, attempt);
+    }
+
+    @Override
+    public void checkHealth(String endpointId) {
+        upstreams.startCall(new UpstreamCall(
+                endpointId,
+                clock.nowMicros() + HEALTH_CHECK_TIMEOUT_MICROS,
+                true,
+                remainingMicros -> loadReportRequest(),
+                (call, outcome, report, body) -> healthCheckCompleted(call, outcome, report)));
+    }
+
+    private static FullHttpRequest loadReportRequest() {
+        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, LOAD_REPORT_PATH);
+    }
+
+    private void healthCheckCompleted(UpstreamCall call, AttemptOutcome outcome, LoadReport report) {
+        loadBalancer.submit(
+                "a health check",
+                module -> module.onHealthCheck(
+                        clock.nowMicros(), call.upstream(), outcome, clock.nowMicros() - call.sentUs(), report),
+                () -> {});
+    }
+
+    @Override
+    public void pollEndpoints() {
+        discovery.poll();
+    }
+
+    @Override
+    public void sendGossip(int sidecarIndex, byte[] message) {
+        gossip.send(sidecarIndex, message);
+    }
+
+    @Override
+    public void closeIdleConnections(String endpointId) {
+        upstreams.closeIdleConnections(endpointId);
+    }
+
+    @Override
+    public void startTimer(String timerName, long delayMicros) {
+        loop.schedule(
+                () -> loadBalancer.submit(
+                        "a timer", module -> module.onTimer(clock.nowMicros(), timerName), requests::failHeld),
+                delayMicros,
+                TimeUnit.MICROSECONDS);
+    }
+
+    @Override
+    public void log(String text) {
+        SidecarLog.info(text);
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -0,0 +1,91 @@
+package loadbalancer.proxy.lifecycle;
+
+import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.client.ClientServer;
+import loadbalancer.proxy.client.RequestDispatcher;
+import loadbalancer.proxy.eventloop.EventLoopMonitor;
+import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.MonotonicClock;
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.observability.TrafficStatistics;
+import loadbalancer.proxy.upstream.UpstreamConnectionPool;
+
+/**
+ * The periodic work on the event loop: measures how late the loop is, closes stalled connections of clients, and logs
+ * the totals. Used on the event loop only.
+ */
+final class MaintenanceTask {
+    private static final long INTERVAL_MILLIS = 100;
+    /** Totals every 5 s: often enough to tell a bad stretch from the good ones around it. */
+    private static final int RUNS_PER_TOTALS = 50;
+
+    private final ReadTrackingEventLoop eventLoop;
+    private final MonotonicClock clock;
+    private final EventLoopMonitor monitor;
+    private final TrafficStatistics statistics;
+    private final ClientServer clients;
+    private final RequestDispatcher requests;
+    private final UpstreamConnectionPool upstreams;
+    private long previousRunMicros;
+    private long runs;
+
+    MaintenanceTask(
+            ReadTrackingEventLoop eventLoop,
+            EventLoopMonitor monitor,
+            TrafficStatistics statistics,
+            ClientServer clients,
+            RequestDispatcher requests,
+            UpstreamConnectionPool upstreams) {
+        this.eventLoop = eventLoop;
+        clock = eventLoop.clock();
+        this.monitor = monitor;
+        this.statistics = statistics;
+        this.clients = clients;
+        this.requests = requests;
+        this.upstreams = upstreams;
+    }
+
+    void start() {
+        monitor.start();
+        previousRunMicros = clock.nowMicros();
+        eventLoop
+                .eventLoop()
+                .scheduleWithFixedDelay(
+                        () -> FaultBarrier.run("maintenance", this::run),
+                        INTERVAL_MILLIS,
+                        INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
+    }
+
+    private void run() {
+        long nowMicros = clock.nowMicros();
+        recordLag(nowMicros - previousRunMicros - INTERVAL_MILLIS * 1000);
+        clients.closeStalledConnections();
+        monitor.taskFinished("closing stalled connections", nowMicros);
+        if (++runs % RUNS_PER_TOTALS == 0) {
+            logTotals();
+        }
+        previousRunMicros = nowMicros;
+    }
+
+    private void recordLag(long lagMicros) {
+        statistics.eventLoopLag(lagMicros);
+        eventLoop.recordTick(lagMicros);
+        String lateLine = monitor.tick(lagMicros);
+        if (lateLine != null) {
+            SidecarLog.info(lateLine);
+        }
+    }
+
+    private void logTotals() {
+        long startMicros = clock.nowMicros();
+        String totals =
+                statistics.summary(requests.openRequests(), clients.openConnections(), upstreams.openConnections());
+        if (totals != null) {
+            SidecarLog.info(totals);
+            monitor.resetBaseline();
+        }
+        monitor.taskFinished("logging totals", startMicros);
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -0,0 +1,91 @@
+package loadbalancer.proxy.lifecycle;
+
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import loadbalancer.decision.LoadBalancingPolicy;
+import loadbalancer.proxy.configuration.ConfigurationException;
+import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.configuration.SidecarConfigurationReader;
+import loadbalancer.proxy.observability.SidecarLog;
+import loadbalancer.proxy.observability.StartupTimer;
+
+/** The process of one sidecar: from its environment to readiness, and from a termination signal to its exit. */
+public final class SidecarProcess {
+    private static final int EXIT_STOPPED = 0;
+    private static final int EXIT_START_FAILED = 1;
+    private static final int EXIT_CONFIGURATION_INVALID = 2;
+
+    private SidecarProcess() {}
+
+    /** Serves until the process ends. Returns only after a failed start, with the exit code of the process. */
+    public static int serve(Map<String, String> environment) throws InterruptedException {
+        int exitCode = EXIT_START_FAILED;
+        try {
+            exitCode = startAndServe(environment);
+        } catch (RuntimeException | Error e) {
+            // Errors as well: the event loop's thread would keep a process alive that never becomes ready.
+            SidecarLog.error("can't start", e);
+        }
+        SidecarLog.flush();
+        return exitCode;
+    }
+
+    private static int startAndServe(Map<String, String> environment) throws InterruptedException {
+        StartupTimer timer = new StartupTimer();
+        NettyEnvironment.prepare();
+        ConfigurationReloader reloader = new ConfigurationReloader(environment);
+        SidecarConfiguration configuration;
+        try {
+            configuration = SidecarConfigurationReader.read(environment);
+        } catch (ConfigurationException e) {
+            SidecarLog.info(e.getMessage());
+            return EXIT_CONFIGURATION_INVALID;
+        }
+        timer.phaseCompleted("settings");
+        LoadBalancerFactory policy = (config, nowMicros, actions) ->
+                new LoadBalancingPolicy(config.settings(), config.seed(), nowMicros, actions);
+        Sidecar sidecar = new Sidecar(configuration, policy);
+        StartupWarmUp warmUp = new StartupWarmUp(configuration, policy);
+        sidecar.holdReadinessForWarmUp(warmUp::cancel);
+        try {
+            sidecar.start();
+        } catch (Exception e) {
+            // Netty throws the checked exceptions of a failed bind undeclared.
+            SidecarLog.info("can't start: " + e);
+            return EXIT_START_FAILED;
+        }
+        stopOnTermination(sidecar);
+        SidecarLog.info(
+                configuration.name() + " serves on " + sidecar.listenAddress() + ", " + configuration.describeLimits());
+        reloader.attach(sidecar);
+        timer.phaseCompleted("sockets and module");
+        int requests = warmUp.run();
+        sidecar.warmUpCompleted();
+        timer.phaseCompleted("a rehearsal of " + requests + " requests");
+        SidecarLog.info("ready after this start, in ms: " + timer);
+        awaitTermination();
+        return EXIT_STOPPED;
+    }
+
+    private static void stopOnTermination(Sidecar sidecar) {
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(sidecar)));
+    }
+
+    private static void stop(Sidecar sidecar) {
+        CountDownLatch stopped = new CountDownLatch(1);
+        sidecar.shutDownGracefully(stopped::countDown);
+        try {
+            stopped.await();
+            SidecarLog.flush();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        // A requested stop is no failure: without this the exit code would be that of the signal.
+        Runtime.getRuntime().halt(EXIT_STOPPED);
+    }
+
+    /** Blocks for good: the shutdown hook ends the process. */
+    private static void awaitTermination() throws InterruptedException {
+        new CountDownLatch(1).await();
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
@@ -0,0 +1,96 @@
+package loadbalancer.proxy.lifecycle;
+
+import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.settings.Idempotency;
+import loadbalancer.settings.RequestClass;
+
+/**
+ * The client of a warm-up: sends requests of all classes in turn, one after the other on each of its connections, until
+ * enough are answered. {@link #cancel}, {@link #await} and {@link #responses} may be called from any thread; the rest
+ * belongs to the event loop of its connections.
+ */
+final class WarmUpClient {
+    private final List<RequestClass> requestClasses;
+    private final int maxResponses;
+    private final CountDownLatch finished = new CountDownLatch(1);
+    private int requestsSent;
+    /** Written by the event loop alone. */
+    private volatile int responses;
+
+    WarmUpClient(List<RequestClass> requestClasses, int maxResponses) {
+        this.requestClasses = requestClasses;
+        this.maxResponses = maxResponses;
+    }
+
+    /** The handler for one connection, which sends its first request when it is open. */
+    ChannelHandler newHandler() {
+        return new Handler();
+    }
+
+    /** Ends the wait of {@link #await}, also one that begins later. */
+    void cancel() {
+        finished.countDown();
+    }
+
+    /** Returns when enough requests are answered, when it is cancelled, or after the timeout. */
+    void await(long timeoutMillis) throws InterruptedException {
+        finished.await(timeoutMillis, TimeUnit.MILLISECONDS);
+    }
+
+    int responses() {
+        return responses;
+    }
+
+    private FullHttpRequest nextRequest() {
+        RequestClass requestClass = requestClasses.get(requestsSent++ % requestClasses.size());
+        Idempotency idempotency = requestClass.idempotency();
+        String requestId = "warm-up-" + requestsSent;
+        FullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST, "/api");
+        request.headers()
+                .set(HttpHeaderNames.HOST, "api.internal")
+                .set(HeaderNames.REQUEST_ID, requestId)
+                .set(HeaderNames.REQUEST_CLASS, requestClass.name())
+                .set(HeaderNames.REMAINING_MILLIS, Math.max(1, requestClass.deadlineMicros() / 1000))
+                .set(HttpHeaderNames.COOKIE, HeaderNames.ROUTING_KEY_COOKIE + "=" + requestsSent)
+                .set(HttpHeaderNames.CONTENT_LENGTH, 0);
+        if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
+            request.headers().set(HeaderNames.IDEMPOTENCY_KEY, requestId);
+        }
+        return request;
+    }
+
+    private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        @Override
+        public void channelActive(ChannelHandlerContext context) {
+            context.writeAndFlush(nextRequest());
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+            responses++;
+            if (responses >= maxResponses) {
+                finished.countDown();
+            } else {
+                context.writeAndFlush(nextRequest());
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
+        }
+    }
+}
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import loadbalancer.proxy.configuration.ConfigurationException;
-import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.configuration.SidecarConfigurationReader;
 import loadbalancer.proxy.testing.SidecarFixture;
 import loadbalancer.proxy.testing.StubServer;
 import org.junit.jupiter.api.Test;
@@ -212,7 +212,12 @@
                 + ",\"settings\":" + SidecarFixture.SETTINGS + ",\"new\":{\"x\":[1]}}";
         assertEquals(
                 7000,
-                SidecarFixture.config(good).known().entries().get(0).upstream().startedMicros());
+                SidecarFixture.config(good)
+                        .initialEndpoints()
+                        .entries()
+                        .get(0)
+                        .upstream()
+                        .startedMicros());
         assertEquals(0x8c1f30d27a5be964L, SidecarFixture.config(good).seed());
         broken("", "JSON");
         broken("[]", "JSON");
@@ -226,9 +231,9 @@
         broken(good.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
         broken(good.replace("\"balancers\":2,", ""), "settings", "balancers");
         broken(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
-        assertThrows(ConfigurationException.class, () -> SidecarConfiguration.read(Map.of()));
+        assertThrows(ConfigurationException.class, () -> SidecarConfigurationReader.read(Map.of()));
         assertThrows(
                 ConfigurationException.class,
-                () -> SidecarConfiguration.read(Map.of("BALANCER_CONFIG", "/nowhere/at/all")));
+                () -> SidecarConfigurationReader.read(Map.of("BALANCER_CONFIG", "/nowhere/at/all")));
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
@@ -39,7 +39,9 @@
                     asks.send(SidecarFixture.get("asks", 20_000));
                     assertEquals("served", asks.answer().body());
                 }
-                assertTrue(fixture.sidecar.connections() <= sockets - OWN, fixture.sidecar.connections() + " are open");
+                assertTrue(
+                        fixture.sidecar.openConnections() <= sockets - OWN,
+                        fixture.sidecar.openConnections() + " are open");
                 fixture.discovery.script = (m, line) -> {
                     if (m.path().contains("index=41&")) {
                         line.answer(
@@ -49,7 +51,9 @@
                     }
                 };
                 fixture.await("list DELTA u9=READY");
-                assertTrue(fixture.sidecar.connections() <= sockets - OWN, fixture.sidecar.connections() + " are open");
+                assertTrue(
+                        fixture.sidecar.openConnections() <= sockets - OWN,
+                        fixture.sidecar.openConnections() + " are open");
             } finally {
                 for (StubServer.Client c : idle) {
                     c.close();
--- a/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
@@ -38,7 +38,7 @@
                 assertEquals("before", idle.answer().body());
                 String text = SidecarFixture.get("half", 30_000);
                 half.send(text.substring(0, 30));
-                fixture.sidecar.stop(stopped::countDown);
+                fixture.sidecar.shutDownGracefully(stopped::countDown);
                 try (StubServer.Client fresh = fixture.client()) {
                     fresh.send(SidecarFixture.get("fresh", 30_000));
                     StubServer.Message m = fresh.answer();
@@ -99,7 +99,7 @@
                 }
                 try (StubServer.Client late = fixture.client()) {
                     late.send(SidecarFixture.get("late", 30_000));
-                    fixture.sidecar.stop(stopped::countDown);
+                    fixture.sidecar.shutDownGracefully(stopped::countDown);
                     assertTrue(idle.ended());
                     assertTrue(other.ended());
                     assertEquals("late", late.answer().body());
@@ -123,7 +123,7 @@
             try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("before", 30_000));
                 assertTrue(remainingUs(fixture.await("request before")) > 20_000_000);
-                fixture.sidecar.stop(() -> {});
+                fixture.sidecar.shutDownGracefully(() -> {});
                 try (StubServer.Client late = fixture.client()) {
                     late.send(SidecarFixture.get("late", 30_000));
                     assertTrue(remainingUs(fixture.await("request late")) <= 3_700_000);
@@ -144,7 +144,7 @@
             CountDownLatch stopped = new CountDownLatch(1);
             try (StubServer.Client half = fixture.client()) {
                 half.send("GET /api HTTP/1.1\r\nX-T");
-                fixture.sidecar.stop(stopped::countDown);
+                fixture.sidecar.shutDownGracefully(stopped::countDown);
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
                 assertEquals(408, half.status());
             }
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -23,7 +23,7 @@
     void itPlaysRequestsThroughTheModuleAndTheSockets() throws Exception {
         AtomicInteger served = new AtomicInteger();
         CountDownLatch many = new CountDownLatch(1);
-        Sidecar.Module counting = (config, now, actions) -> {
+        LoadBalancerFactory counting = (config, now, actions) -> {
             LoadBalancer policy = new LoadBalancingPolicy(config.settings(), config.seed(), now, actions);
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(),
@@ -37,13 +37,13 @@
                         return method.invoke(policy, arguments);
                     });
         };
-        StartupWarmUp rehearsal = new StartupWarmUp(
+        StartupWarmUp warmUp = new StartupWarmUp(
                 SidecarFixture.config("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\","
                         + "\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":" + SidecarFixture.list(1, true)
                         + ",\"settings\":"
                         + SidecarFixture.SETTINGS + "}"),
                 counting);
-        rehearsal.play();
+        warmUp.run();
         assertTrue(many.await(0, TimeUnit.SECONDS), served + " were served");
         // Nor any longer than it helps: the application waits for its end.
         assertTrue(served.get() < 20, served + " were served");
@@ -51,20 +51,20 @@
 
     @Test
     void untilItIsOverTheSidecarIsNotReadyButARequestIsServedAndEndsIt() throws Exception {
-        CountDownLatch cut = new CountDownLatch(1);
+        CountDownLatch interrupted = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            fixture.warmUpInterrupt = cut::countDown;
+            fixture.warmUpInterrupt = interrupted::countDown;
             fixture.start();
             fixture.await("list DELTA");
             try (StubServer.Client client = fixture.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.status());
-                assertEquals(1, cut.getCount());
+                assertEquals(1, interrupted.getCount());
                 client.send(SidecarFixture.get("a1", 20_000));
                 assertEquals(200, client.status());
-                assertTrue(cut.await(20, TimeUnit.SECONDS));
-                fixture.sidecar.rehearsed();
+                assertTrue(interrupted.await(20, TimeUnit.SECONDS));
+                fixture.sidecar.warmUpCompleted();
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(200, client.status());
             }
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -20,6 +20,7 @@
 import loadbalancer.decision.Request;
 import loadbalancer.proxy.configuration.ConfigurationException;
 import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.configuration.SidecarConfigurationReader;
 import loadbalancer.proxy.discovery.DiscoveryWatch;
 import loadbalancer.proxy.discovery.ExponentialBackoff;
 import loadbalancer.proxy.discovery.WatchTimeouts;
@@ -141,7 +142,7 @@
     }
 
     public static SidecarConfiguration config(String json) throws IOException, ConfigurationException {
-        return read(json, SidecarConfiguration::read);
+        return read(json, SidecarConfigurationReader::read);
     }
 
     private String configuration(String discoveryAddress) {
@@ -152,9 +153,9 @@
 
     /** Reloads the configuration, as on SIGHUP, with this discovery address and the current {@link #settings}. */
     public void reload(String discoveryAddress) throws Exception {
-        sidecar.reconfigure(read(
+        sidecar.applyConfiguration(read(
                 configuration(discoveryAddress),
-                environment -> SidecarConfiguration.reload(environment, sidecar.settings())));
+                environment -> SidecarConfigurationReader.reload(environment, sidecar.settings())));
     }
 
     /**
@@ -174,14 +175,14 @@
                 watchTimeouts,
                 backoff);
         if (warmUpInterrupt != null) {
-            sidecar.notReadyBefore(warmUpInterrupt);
+            sidecar.holdReadinessForWarmUp(warmUpInterrupt);
         }
         sidecar.start();
         return this;
     }
 
     public InetSocketAddress address() {
-        return sidecar.listening();
+        return sidecar.listenAddress();
     }
 
     public StubServer.Client client() throws IOException {
@@ -207,7 +208,7 @@
     @Override
     public void close() throws Exception {
         if (sidecar != null) {
-            sidecar.end();
+            sidecar.shutDownNow();
         }
         discovery.close();
         for (StubServer server : endpointServers) {
