--- a/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
@@ -1,6 +1,5 @@
 package loadbalancer.proxy.client;
 
-import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.AsciiString;
@@ -9,17 +8,17 @@
 /** Takes requests apart, none of them by guess: what hides in another's body must never be taken for a request. */
 final class RequestDecoder extends HttpRequestDecoder {
     RequestDecoder() {
-        super(new HttpDecoderConfig().setStrictLineParsing(true));
+        super(StrictFraming.decoderConfig());
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw StrictFraming.twoFramings();
+        throw StrictFraming.contentLengthWithTransferEncoding();
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        StrictFraming.checkName(line, start, length);
+        StrictFraming.checkHeaderName(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -0,0 +1,177 @@
+package loadbalancer.proxy.discovery;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.EventLoop;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.util.concurrent.Future;
+import java.net.InetSocketAddress;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.eventloop.ClientBootstraps;
+import loadbalancer.proxy.protocol.EndpointList;
+import loadbalancer.proxy.protocol.MalformedEndpointListException;
+
+/**
+ * Fetches endpoint lists over one keep-alive connection, one call at a time. All methods and callbacks run on the event
+ * loop that owns the connection. Response buffers are released here, after they were parsed.
+ */
+final class DiscoveryClient {
+    /** Called once for each call that is not cancelled. A further call may be started from it. */
+    interface Listener {
+        void onResponse(EndpointList list);
+
+        /** {@code detail} says more than the kind of failure, or is empty; the connection is closed. */
+        void onFailure(CallFailure failure, String detail);
+    }
+
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    /** Room for a list of some thousand endpoints. */
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+
+    private final EventLoop loop;
+    private final Bootstrap bootstrap;
+    private final Listener listener;
+    /** Null before the first call and after the connection was given up. */
+    private Channel channel;
+    /** Null while no call is in flight. Events of any other call are stale. */
+    private Call inFlight;
+
+    /** A call, known by its identity. */
+    private static final class Call {
+        final String target;
+        Future<?> timeout;
+
+        Call(String target) {
+            this.target = target;
+        }
+    }
+
+    DiscoveryClient(EventLoop loop, Listener listener) {
+        this.loop = loop;
+        this.listener = listener;
+        bootstrap = ClientBootstraps.http(loop, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, ResponseHandler::new);
+    }
+
+    boolean callInFlight() {
+        return inFlight != null;
+    }
+
+    /** Starts a call; none may be in flight. {@code address} holds where a connection has to be opened. */
+    void get(InetSocketAddress address, String target, long timeoutMillis) {
+        Call call = new Call(target);
+        inFlight = call;
+        call.timeout = loop.schedule(() -> fail(call, CallFailure.TIMEOUT, ""), timeoutMillis, TimeUnit.MILLISECONDS);
+        if (channel != null && channel.isActive()) {
+            write(call);
+        } else {
+            connect(address, call);
+        }
+    }
+
+    /** Ends the call in flight, if any, without calling the listener, and closes the connection. */
+    void cancel() {
+        if (inFlight != null) {
+            finishCall();
+        }
+        closeConnection();
+    }
+
+    void closeConnection() {
+        Channel closing = channel;
+        channel = null;
+        if (closing != null) {
+            closing.close();
+        }
+    }
+
+    private void connect(InetSocketAddress address, Call call) {
+        ChannelFuture connecting = bootstrap.connect(address);
+        channel = connecting.channel();
+        connecting.addListener(connected -> {
+            if (!connected.isSuccess()) {
+                fail(call, CallFailure.CONNECT_FAILED, "");
+            } else if (inFlight == call) {
+                write(call);
+            }
+        });
+    }
+
+    private void write(Call call) {
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, call.target);
+        request.headers().set("Host", "discovery");
+        channel.writeAndFlush(request).addListener(written -> {
+            if (!written.isSuccess()) {
+                fail(call, CallFailure.CONNECTION_CLOSED, "");
+            }
+        });
+    }
+
+    private void finishCall() {
+        inFlight.timeout.cancel(false);
+        inFlight = null;
+    }
+
+    private void fail(Call call, CallFailure failure, String detail) {
+        if (inFlight != call) {
+            return;
+        }
+        finishCall();
+        // A late response on this connection must not be taken for the one to the next call.
+        closeConnection();
+        listener.onFailure(failure, detail);
+    }
+
+    private void receive(FullHttpResponse response) {
+        int status = response.status().code();
+        if (status != HttpResponseStatus.OK.code() || !response.decoderResult().isSuccess()) {
+            fail(inFlight, CallFailure.UNEXPECTED_STATUS, "status=" + status);
+            return;
+        }
+        EndpointList list;
+        try {
+            list = EndpointList.parse(ByteBufUtil.getBytes(response.content()));
+        } catch (MalformedEndpointListException e) {
+            fail(inFlight, CallFailure.MALFORMED_LIST, "error=" + e.getMessage());
+            return;
+        }
+        finishCall();
+        if (!HttpUtil.isKeepAlive(response)) {
+            closeConnection();
+        }
+        listener.onResponse(list);
+    }
+
+    /** Passes on what belongs to the call in flight; a response to no call ends its connection. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (inFlight != null && ctx.channel() == channel) {
+                receive(response);
+            } else {
+                ctx.close();
+            }
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            if (inFlight != null && ctx.channel() == channel) {
+                fail(inFlight, CallFailure.CONNECTION_CLOSED, "");
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+    }
+}
--- a/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
+++ b/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
@@ -3,39 +3,44 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * How long to pause after a failed call: not at all after the first, as what is asked again at once is missed by
- * nobody; then ever longer, and jittered, as a service that is down fails all who ask it together.
+ * The pause after a failed call: none after the first failure, as discovery keeps counting changes as delivered while
+ * no watch is up; then one that doubles up to a maximum, with jitter, as all sidecars see a service fail together. Not
+ * thread-safe.
  */
 public final class ExponentialBackoff {
-    private final long leastUs;
-    private final long mostUs;
-    /** A random number from 0 up to, not including, the one given. */
+    /** Doubling more often than this would overflow; the maximum is reached long before. */
+    private static final int MAX_DOUBLINGS = 20;
+
+    private final long initialMicros;
+    private final long maxMicros;
+    /** A random number from 0 up to, not including, its argument. */
     private final LongUnaryOperator random;
 
     private int failures;
 
-    ExponentialBackoff(long leastUs, long mostUs, LongUnaryOperator random) {
-        this.leastUs = leastUs;
-        this.mostUs = mostUs;
+    ExponentialBackoff(long initialMicros, long maxMicros, LongUnaryOperator random) {
+        this.initialMicros = initialMicros;
+        this.maxMicros = maxMicros;
         this.random = random;
     }
 
-    /** One more call has failed: the pause before the next. */
-    long failed() {
+    /** Counts a failed call and returns the pause before the next, in microseconds. */
+    long recordFailure() {
         failures++;
         if (failures == 1) {
             return 0;
         }
-        long longest = Math.min(mostUs, leastUs << Math.min(failures - 2, 20));
-        return longest / 2 + random.applyAsLong(longest / 2 + 1);
+        int doublings = Math.min(failures - 2, MAX_DOUBLINGS);
+        long longestMicros = Math.min(maxMicros, initialMicros << doublings);
+        return longestMicros / 2 + random.applyAsLong(longestMicros / 2 + 1);
     }
 
-    /** How many have failed since the last that did not. */
+    /** How many calls have failed since the last success. */
     int failures() {
         return failures;
     }
 
-    void succeeded() {
+    void reset() {
         failures = 0;
     }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
@@ -1,16 +1,24 @@
 package loadbalancer.proxy.discovery;
 
 /**
- * How long calls are waited for. A silent watch is broken, and what it misses counts as told 6 s after it fell silent,
- * or 2 s after its wait is over: a short wait and little patience leave most of that for asking anew. The agent, on
- * this machine, answers at once what need not wait; one that does not is asked again, ever more patiently, as a long
- * list to a busy sidecar may take its time.
+ * How long a call to discovery may take. Changes that a silent watch misses count as delivered 6 s after it fell
+ * silent, or 2 s after the end of its wait: a short wait and a short margin leave most of that for further calls. A
+ * call that need not wait is answered at once by the agent, which runs on this machine; its timeout doubles with each
+ * failure, as a long list may take its time to reach a busy sidecar.
+ *
+ * @param waitMillis how long discovery may hold a long poll
+ * @param silenceMillis how much later than that the response to a long poll may come
+ * @param immediateMillis the timeout of any other call, before it is doubled
  */
-public record WatchTimeouts(long waitMs, long silentMs, long promptMs) {
-    public static final WatchTimeouts USUAL = new WatchTimeouts(2_000, 500, 250);
-    private static final int MOST_DOUBLED = 2;
+public record WatchTimeouts(long waitMillis, long silenceMillis, long immediateMillis) {
+    public static final WatchTimeouts DEFAULT = new WatchTimeouts(2_000, 500, 250);
+    private static final int MAX_DOUBLINGS = 2;
 
-    long ms(boolean waits, int failures) {
-        return waits ? waitMs + silentMs : promptMs << Math.min(failures, MOST_DOUBLED);
+    long longPollTimeoutMillis() {
+        return waitMillis + silenceMillis;
+    }
+
+    long immediateTimeoutMillis(int failures) {
+        return immediateMillis << Math.min(failures, MAX_DOUBLINGS);
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -17,6 +17,7 @@
 import loadbalancer.proxy.client.RequestDispatcher;
 import loadbalancer.proxy.configuration.ConfigurationException;
 import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.discovery.DiscoveryMode;
 import loadbalancer.proxy.discovery.DiscoveryWatch;
 import loadbalancer.proxy.discovery.ExponentialBackoff;
 import loadbalancer.proxy.discovery.WatchTimeouts;
@@ -29,7 +30,6 @@
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.observability.StartupTimer;
 import loadbalancer.proxy.observability.TrafficStatistics;
-import loadbalancer.proxy.protocol.EndpointList;
 import loadbalancer.proxy.upstream.UpstreamCall;
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 import loadbalancer.settings.LoadBalancerSettings;
@@ -76,7 +76,7 @@
                 config,
                 module,
                 new ReadTrackingEventLoop(new MonotonicClock()),
-                WatchTimeouts.USUAL,
+                WatchTimeouts.DEFAULT,
                 DiscoveryWatch.defaultBackoff());
     }
 
@@ -115,11 +115,12 @@
                 loop,
                 clock,
                 decisions,
-                upstreams,
-                config.discovery(),
-                config.known().generation(),
-                !settings.polledDiscovery(),
-                patience,
+                upstreams::updateEndpoints,
+                new DiscoveryWatch.Options(
+                        config.discovery(),
+                        config.known().generation(),
+                        settings.polledDiscovery() ? DiscoveryMode.POLLED : DiscoveryMode.PUSHED,
+                        patience),
                 backoff);
         peers = new GossipTransport(clock, decisions, config.peers(), config.peersAll());
         clients = new ClientServer(
@@ -215,9 +216,7 @@
                             made.onEndpointList(
                                     clock.nowMicros(),
                                     EndpointListType.CACHED,
-                                    config.known().entries().stream()
-                                            .map(EndpointList.Entry::upstream)
-                                            .toList());
+                                    config.known().endpoints());
                             return made;
                         },
                         new DecisionExecutor()))
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -103,7 +103,7 @@
                     config.forWarmUp(here, stage, list(stage)),
                     module,
                     reads,
-                    WatchTimeouts.USUAL,
+                    WatchTimeouts.DEFAULT,
                     DiscoveryWatch.defaultBackoff());
             second.start();
             Bootstrap clients = ClientBootstraps.http(loop, 1_000, HeaderNames.MAX_REQUEST_BODY_BYTES, Client::new);
--- a/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -10,7 +10,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads JSON objects field by field; a field of the wrong kind is named in the exception. */
+/**
+ * A JSON object that is read field by field. Fields that nobody reads are ignored, and {@code null} counts as absent.
+ * Every reader throws {@link MalformedJsonException}, which names the field, where it is absent without a default or of
+ * another kind. Immutable.
+ */
 public final class JsonObject {
     private static final JsonFactory FACTORY = new JsonFactory();
 
@@ -20,12 +24,13 @@
         this.fields = fields;
     }
 
+    /** Reads one object in UTF-8; anything else is a {@link MalformedJsonException}. */
     public static JsonObject parse(byte[] text) {
         try {
             return new JsonObject(read(text));
         } catch (IOException e) {
             String reason = String.valueOf(e.getMessage());
-            throw new IllegalArgumentException(
+            throw new MalformedJsonException(
                     "no JSON object: " + reason.lines().findFirst().orElse(""));
         }
     }
@@ -33,35 +38,35 @@
     private static Map<String, Object> read(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("no JSON object");
+                throw new MalformedJsonException("no JSON object");
             }
-            return object(parser);
+            return readObject(parser);
         }
     }
 
-    private static Map<String, Object> object(JsonParser parser) throws IOException {
+    private static Map<String, Object> readObject(JsonParser parser) throws IOException {
         Map<String, Object> fields = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            fields.put(name, value(parser));
+            fields.put(name, readValue(parser));
         }
         return fields;
     }
 
-    private static List<Object> array(JsonParser parser) throws IOException {
+    private static List<Object> readArray(JsonParser parser) throws IOException {
         List<Object> values = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            values.add(value(parser));
+            values.add(readValue(parser));
         }
         return values;
     }
 
     /** The value whose first token the parser stands at. */
-    private static Object value(JsonParser parser) throws IOException {
+    private static Object readValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> array(parser);
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readArray(parser);
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
             case VALUE_TRUE -> Boolean.TRUE;
@@ -75,43 +80,43 @@
     }
 
     public String text(String name) {
-        return of(name, String.class, "a text");
+        return field(name, String.class, "a text");
     }
 
-    public String textOr(String name, String absent) {
-        return has(name) ? text(name) : absent;
+    public String textOr(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
     long number(String name) {
-        return of(name, Number.class, "a number").longValue();
+        return field(name, Number.class, "a number").longValue();
     }
 
-    public long numberOr(String name, long absent) {
-        return has(name) ? number(name) : absent;
+    public long numberOr(String name, long defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
-    double realOr(String name, double absent) {
-        return has(name) ? of(name, Number.class, "a number").doubleValue() : absent;
+    double realOr(String name, double defaultValue) {
+        return has(name) ? field(name, Number.class, "a number").doubleValue() : defaultValue;
     }
 
     boolean flag(String name) {
-        return of(name, Boolean.class, "true or false");
+        return field(name, Boolean.class, "true or false");
     }
 
     @SuppressWarnings("unchecked")
     public JsonObject object(String name) {
-        return new JsonObject(of(name, Map.class, "an object"));
+        return new JsonObject(field(name, Map.class, "an object"));
     }
 
     @SuppressWarnings("unchecked")
     List<JsonObject> objects(String name) {
-        return ((List<Object>) of(name, List.class, "a list"))
+        return ((List<Object>) field(name, List.class, "a list"))
                 .stream()
-                        .map(o -> {
-                            if (!(o instanceof Map)) {
-                                throw new IllegalArgumentException("'" + name + "' holds what is no object");
+                        .map(element -> {
+                            if (!(element instanceof Map)) {
+                                throw new MalformedJsonException("'" + name + "' holds what is no object");
                             }
-                            return new JsonObject((Map<String, Object>) o);
+                            return new JsonObject((Map<String, Object>) element);
                         })
                         .toList();
     }
@@ -119,45 +124,48 @@
     @SuppressWarnings("unchecked")
     public List<String> textsOrNone(String name) {
         return has(name)
-                ? ((List<Object>) of(name, List.class, "a list"))
+                ? ((List<Object>) field(name, List.class, "a list"))
                         .stream().map(String::valueOf).toList()
                 : List.of();
     }
 
-    private <T> T of(String name, Class<T> type, String what) {
+    private <T> T field(String name, Class<T> type, String kind) {
         Object value = fields.get(name);
         if (value == null) {
-            throw new IllegalArgumentException("'" + name + "' is missing");
+            throw new MalformedJsonException("'" + name + "' is missing");
         }
         if (!type.isInstance(value)) {
-            throw new IllegalArgumentException("'" + name + "' is not " + what);
+            throw new MalformedJsonException("'" + name + "' is not " + kind);
         }
         return type.cast(value);
     }
 
-    /** All values by their paths, in the form of the simulator's pairs. */
+    /**
+     * All values by their paths: {@code a.b} for a field in an object, {@code a.0.b} and {@code a.count} for a list of
+     * objects, one text with commas for a list of plain values.
+     */
     public Map<String, String> flat() {
-        Map<String, String> out = new TreeMap<>();
-        flatten("", fields, out);
-        return out;
+        Map<String, String> values = new TreeMap<>();
+        flatten("", fields, values);
+        return values;
     }
 
-    private static void flatten(String path, Object value, Map<String, String> out) {
+    private static void flatten(String path, Object value, Map<String, String> values) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(path.isEmpty() ? "" + k : path + "." + k, v, out));
+            map.forEach((name, field) -> flatten(path.isEmpty() ? "" + name : path + "." + name, field, values));
         } else if (value instanceof List<?> list) {
             if (list.stream().noneMatch(Map.class::isInstance)) {
-                out.put(
+                values.put(
                         path,
                         String.join(",", list.stream().map(String::valueOf).toList()));
                 return;
             }
-            out.put(path + ".count", "" + list.size());
+            values.put(path + ".count", "" + list.size());
             for (int i = 0; i < list.size(); i++) {
-                flatten(path + "." + i, list.get(i), out);
+                flatten(path + "." + i, list.get(i), values);
             }
         } else if (value != null) {
-            out.put(path, value.toString());
+            values.put(path, value.toString());
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/protocol/StrictFraming.java
+++ b/src/main/java/loadbalancer/proxy/protocol/StrictFraming.java
@@ -1,17 +1,33 @@
 package loadbalancer.proxy.protocol;
 
-/** What both sides are strict about beyond the library: where two readers may disagree, nothing is guessed. */
+import io.netty.handler.codec.http.HttpDecoderConfig;
+
+/**
+ * The rules that the decoders of requests and of responses apply beyond those of Netty. A message that two readers may
+ * frame differently is rejected: a body could hide a message otherwise.
+ */
 public final class StrictFraming {
     private StrictFraming() {}
 
-    public static IllegalArgumentException twoFramings() {
-        // Netty would drop the length and go on: a body may then hide a message, or end where its sender does not.
-        return new IllegalArgumentException("a length beside a transfer encoding");
+    /** The configuration of both decoders: lines end with CR LF and nothing else. */
+    public static HttpDecoderConfig decoderConfig() {
+        return new HttpDecoderConfig().setStrictLineParsing(true);
+    }
+
+    /** What is wrong with a message of two framings; Netty itself drops the length and goes on. */
+    public static IllegalArgumentException contentLengthWithTransferEncoding() {
+        return new IllegalArgumentException("Content-Length beside Transfer-Encoding");
     }
 
-    /** Netty would take a line without a colon, or a space before it, for a header. */
-    public static void checkName(byte[] line, int start, int length) {
-        if (length == 0 || start + length >= line.length || line[start + length] != ':') {
+    /**
+     * Checks that a name ends with a colon; Netty takes a line without a colon, or with a space before it, for a
+     * header.
+     *
+     * @throws IllegalArgumentException where {@code line} has no name of {@code length} bytes at {@code start}
+     */
+    public static void checkHeaderName(byte[] line, int start, int length) {
+        int end = start + length;
+        if (length == 0 || end >= line.length || line[end] != ':') {
             throw new IllegalArgumentException("a header line without a name");
         }
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -1,6 +1,5 @@
 package loadbalancer.proxy.upstream;
 
-import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
@@ -9,17 +8,17 @@
 /** Takes answers apart, none of them by guess, and knows whether bytes are left that belong to none. */
 final class ResponseDecoder extends HttpResponseDecoder {
     ResponseDecoder() {
-        super(new HttpDecoderConfig().setStrictLineParsing(true));
+        super(StrictFraming.decoderConfig());
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw StrictFraming.twoFramings();
+        throw StrictFraming.contentLengthWithTransferEncoding();
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        StrictFraming.checkName(line, start, length);
+        StrictFraming.checkHeaderName(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -46,12 +46,12 @@
 
         Target(EndpointList.Entry entry) {
             address = entry.address();
-            startedUs = entry.upstream().startedMicros();
+            startedUs = entry.endpoint().startedMicros();
         }
 
         boolean is(EndpointList.Entry entry) {
             return address.equals(entry.address())
-                    && startedUs == entry.upstream().startedMicros();
+                    && startedUs == entry.endpoint().startedMicros();
         }
     }
 
@@ -103,7 +103,7 @@
     public void updateEndpoints(EndpointList list) {
         Set<String> named = new HashSet<>();
         for (EndpointList.Entry e : list.entries()) {
-            String id = e.upstream().id();
+            String id = e.endpoint().id();
             named.add(id);
             Target t = targets.get(id);
             if (t == null || !t.is(e)) {
@@ -111,7 +111,7 @@
                 t = new Target(e);
                 targets.put(id, t);
             }
-            t.state = e.upstream().state();
+            t.state = e.endpoint().state();
             if (t.state != EndpointState.READY) {
                 closeIdleConnections(t);
             }
@@ -120,7 +120,7 @@
                 targets.remove(id);
             }
         }
-        if (list.whole()) {
+        if (list.fullSnapshot()) {
             targets.entrySet().removeIf(e -> {
                 if (named.contains(e.getKey())) {
                     return false;
--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -74,7 +74,7 @@
         awaitLine(p, " serves on ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
         hangUp(p);
-        awaitLine(p, "discovery is now at /127.0.0.2:9");
+        awaitLine(p, "discovery_address_changed address=/127.0.0.2:9");
         Files.writeString(folder.resolve("config.json"), "{");
         hangUp(p);
         awaitLine(p, "goes on as before: ");
@@ -111,7 +111,7 @@
         awaitLine(p, " ready after ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
         hangUp(p);
-        awaitLine(p, "discovery is now at /127.0.0.2:9");
+        awaitLine(p, "discovery_address_changed address=/127.0.0.2:9");
         // The loop has done all of it when this is heard.
         p.destroy();
         assertTrue(p.waitFor(60, TimeUnit.SECONDS));
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -212,7 +212,7 @@
                 + ",\"settings\":" + SidecarFixture.SETTINGS + ",\"new\":{\"x\":[1]}}";
         assertEquals(
                 7000,
-                SidecarFixture.config(good).known().entries().get(0).upstream().startedMicros());
+                SidecarFixture.config(good).known().entries().get(0).endpoint().startedMicros());
         assertEquals(0x8c1f30d27a5be964L, SidecarFixture.config(good).seed());
         broken("", "JSON");
         broken("[]", "JSON");
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
@@ -201,11 +201,17 @@
 
     @Test
     void silenceIsNoticedWellBeforeWhatItHidesCountsAsTold() {
-        WatchTimeouts usual = WatchTimeouts.USUAL;
-        long toldMs = Math.min(6_000, usual.waitMs() + 2_000);
-        assertTrue(usual.ms(true, 0) <= toldMs - 1_000, "noticed after " + usual.ms(true, 0) + " ms");
+        WatchTimeouts usual = WatchTimeouts.DEFAULT;
+        long toldMs = Math.min(6_000, usual.waitMillis() + 2_000);
+        assertTrue(
+                usual.longPollTimeoutMillis() <= toldMs - 1_000,
+                "noticed after " + usual.longPollTimeoutMillis() + " ms");
         // After a new configuration, 4 s: for several calls that nobody answers.
-        assertTrue(usual.ms(false, 0) + usual.ms(false, 1) + usual.ms(false, 2) + usual.ms(false, 3) <= 3_000);
+        assertTrue(usual.immediateTimeoutMillis(0)
+                        + usual.immediateTimeoutMillis(1)
+                        + usual.immediateTimeoutMillis(2)
+                        + usual.immediateTimeoutMillis(3)
+                <= 3_000);
     }
 
     /** The list that the start brings may be old: it is not served by before discovery was asked. */
--- a/src/test/java/loadbalancer/proxy/discovery/ExponentialBackoffTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/ExponentialBackoffTest.java
@@ -8,7 +8,7 @@
 
 class ExponentialBackoffTest {
     private static long[] pauses(ExponentialBackoff backoff) {
-        return LongStream.range(0, 6).map(i -> backoff.failed()).toArray();
+        return LongStream.range(0, 6).map(i -> backoff.recordFailure()).toArray();
     }
 
     @Test
@@ -22,8 +22,8 @@
     void aSuccessBeginsAnew() {
         ExponentialBackoff backoff = new ExponentialBackoff(20, 100, bound -> 0);
         pauses(backoff);
-        backoff.succeeded();
+        backoff.reset();
         assertEquals(0, backoff.failures());
-        assertEquals(0, backoff.failed());
+        assertEquals(0, backoff.recordFailure());
     }
 }
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -70,7 +70,7 @@
     public boolean asks = true;
 
     public int sockets = 1024;
-    public WatchTimeouts patience = WatchTimeouts.USUAL;
+    public WatchTimeouts patience = WatchTimeouts.DEFAULT;
     public ExponentialBackoff backoff = DiscoveryWatch.defaultBackoff();
     private volatile LoadBalancerActions actions;
     public final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(new MonotonicClock());
