--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -79,7 +79,7 @@
                 configuration.forWarmUp(anyPort, serverAddress, endpointsAt(serverAddress)),
                 loadBalancerFactory,
                 eventLoop,
-                WatchTimeouts.USUAL,
+                WatchTimeouts.DEFAULT,
                 DiscoveryWatch.defaultBackoff());
         sidecar.start();
         Bootstrap bootstrap = ClientBootstraps.http(
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -80,7 +80,7 @@
     public boolean pollsEndpoints = true;
 
     public int descriptorLimit = 1024;
-    public WatchTimeouts watchTimeouts = WatchTimeouts.USUAL;
+    public WatchTimeouts watchTimeouts = WatchTimeouts.DEFAULT;
     public ExponentialBackoff backoff = DiscoveryWatch.defaultBackoff();
     private volatile LoadBalancerActions actions;
     public final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(new MonotonicClock());
