--- a/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
@@ -1,6 +1,5 @@
 package loadbalancer.proxy.client;
 
-import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.AsciiString;
@@ -12,17 +11,17 @@
  */
 final class RequestDecoder extends HttpRequestDecoder {
     RequestDecoder() {
-        super(new HttpDecoderConfig().setStrictLineParsing(true));
+        super(StrictFraming.decoderConfig());
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw StrictFraming.twoFramings();
+        throw StrictFraming.contentLengthWithTransferEncoding();
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        StrictFraming.checkName(line, start, length);
+        StrictFraming.checkHeaderName(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 }
