--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -1,73 +1,86 @@
 package loadbalancer.proxy.client;
 
-import io.netty.channel.ChannelConfig;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
- * The listener's backlog while descriptors are used up: accepting pauses, connections wait there unseen, and with them
- * requests whose time runs on. On the listener's pipeline and its event loop, for one listener.
+ * Pauses and resumes accepting on the pipeline of one listener, and bounds how long a connection waited in the system's
+ * backlog meanwhile: the time for its first request runs there already. Confined to the event loop.
  */
 final class AcceptBacklog extends ChannelInboundHandlerAdapter {
-    /** Netty accepts at most so many connections in one reading of a listener. */
-    private static final int MOST_PER_READING = 16;
+    /** Netty accepts at most so many connections in one read of a listener. */
+    private static final int MAX_ACCEPTS_PER_READ = 16;
+
+    private static final long NEVER = 0;
 
     private final ReadTrackingEventLoop reads;
-    private int accepted;
-    /** Since when connections may wait; 0 where none do. */
-    private long pausedUs;
-    /** Since when what waits is being accepted; 0 while nothing is. */
-    private long resumedUs;
+    private Channel listener;
+    private int acceptedInRead;
+    /** Since when connections may be waiting; {@link #NEVER} where none are. */
+    private long pausedMicros = NEVER;
+    /** Since when the waiting connections are being accepted; {@link #NEVER} while accepting is paused. */
+    private long resumedMicros = NEVER;
 
     AcceptBacklog(ReadTrackingEventLoop reads) {
         this.reads = reads;
     }
 
-    /** Whether connections are accepted from now on. */
-    void accept(ChannelConfig listener, boolean accepting) {
-        boolean changes = listener.isAutoRead() != accepting;
-        listener.setAutoRead(accepting);
+    @Override
+    public void handlerAdded(ChannelHandlerContext context) {
+        listener = context.channel();
+    }
+
+    boolean isAccepting() {
+        return listener.config().isAutoRead();
+    }
+
+    void setAccepting(boolean accepting) {
+        boolean changes = isAccepting() != accepting;
+        listener.config().setAutoRead(accepting);
         if (!changes) {
             return;
         }
-        long now = reads.clock().nowMicros();
-        if (!accepting) {
-            pausedUs = mayHold() ? pausedUs : now;
-            resumedUs = 0;
-        } else {
-            resumedUs = now;
-            // Due at once, in the next iteration: behind its reading it is known whether anything waited.
+        long nowMicros = reads.clock().nowMicros();
+        if (accepting) {
+            resumedMicros = nowMicros;
+            // Wakes the loop for a read of all sockets, after which it is known whether any connection waited.
             reads.eventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
+        } else {
+            pausedMicros = mayHoldConnections() ? pausedMicros : nowMicros;
+            resumedMicros = NEVER;
         }
     }
 
     /** How long a connection that is accepted now has waited at most, in microseconds. */
-    long waitedUs() {
-        return mayHold() ? reads.clock().nowMicros() - pausedUs : 0;
+    long maxWaitMicros() {
+        return mayHoldConnections() ? reads.clock().nowMicros() - pausedMicros : 0;
     }
 
-    private boolean mayHold() {
-        if (pausedUs > 0 && resumedUs > 0 && reads.lastReadMicros() > resumedUs) {
-            // A whole reading since then has accepted all that waited.
-            pausedUs = 0;
+    private boolean mayHoldConnections() {
+        boolean readSinceResumed = resumedMicros != NEVER && reads.lastReadMicros() > resumedMicros;
+        if (readSinceResumed) {
+            // A read of all sockets since then has accepted whatever waited.
+            pausedMicros = NEVER;
         }
-        return pausedUs > 0;
+        return pausedMicros != NEVER;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object channel) {
-        accepted++;
+        acceptedInRead++;
         context.fireChannelRead(channel);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (accepted >= MOST_PER_READING && resumedUs > 0) {
-            resumedUs = reads.clock().nowMicros();
+        boolean moreMayWait = acceptedInRead >= MAX_ACCEPTS_PER_READ;
+        if (moreMayWait && resumedMicros != NEVER) {
+            resumedMicros = reads.clock().nowMicros();
         }
-        accepted = 0;
+        acceptedInRead = 0;
         context.fireChannelReadComplete();
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
@@ -0,0 +1,12 @@
+package loadbalancer.proxy.client;
+
+import java.util.function.BooleanSupplier;
+
+/**
+ * Bounds on the connections of clients.
+ *
+ * @param maxConnections beyond it, connections wait in the listener's backlog
+ * @param maxIdleConnections most connections that are kept open between two requests
+ * @param descriptorAvailable whether there is a file descriptor for one more connection; asked on the event loop
+ */
+public record ConnectionLimits(int maxConnections, int maxIdleConnections, BooleanSupplier descriptorAvailable) {}
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -6,6 +6,7 @@
 import loadbalancer.decision.LoadBalancer;
 import loadbalancer.decision.LoadBalancerActions;
 import loadbalancer.proxy.client.ClientServer;
+import loadbalancer.proxy.client.ConnectionLimits;
 import loadbalancer.proxy.client.RequestDispatcher;
 import loadbalancer.proxy.configuration.SidecarConfiguration;
 import loadbalancer.proxy.discovery.DiscoveryMode;
@@ -115,9 +116,10 @@
                 requests,
                 settings().requestClasses(),
                 () -> discovery.hasSynced() && upstreams.hasReadyEndpoint(),
-                descriptors.maxClientConnections(),
-                this::hasDescriptorForClient,
-                descriptors.maxIdleClientConnections(),
+                new ConnectionLimits(
+                        descriptors.maxClientConnections(),
+                        descriptors.maxIdleClientConnections(),
+                        this::hasDescriptorForClient),
                 statistics);
     }
 
