--- a/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
@@ -114,7 +114,9 @@
     public void startTimer(String timerName, long delayMicros) {
         loop.schedule(
                 () -> loadBalancer.submit(
-                        "a timer", module -> module.onTimer(clock.nowMicros(), timerName), requests::failHeld),
+                        "a timer",
+                        module -> module.onTimer(clock.nowMicros(), timerName),
+                        requests::failRequestsWithoutAttemptInFlight),
                 delayMicros,
                 TimeUnit.MICROSECONDS);
     }
