--- /dev/null
+++ b/src/main/java/loadbalancer/decision/DiscoveryBackoff.java
@@ -0,0 +1,52 @@
+package loadbalancer.decision;
+
+import java.util.SplittableRandom;
+
+/**
+ * Decides when discovery is polled for the endpoint list: once at the start, and after a failed call again with a
+ * jittered, exponentially growing delay. Does nothing where lists are pushed.
+ */
+final class DiscoveryBackoff {
+    private static final long FIRST_DELAY_MICROS = 500_000;
+    /** A sidecar counts as informed 6 s after discovery recovers; a call that times out takes 2.5 s of them. */
+    private static final long MAX_DELAY_MICROS = 1_000_000;
+
+    private final PolicySettings settings;
+    private final LoadBalancerActions actions;
+    private final SplittableRandom random;
+    private boolean listReceived;
+    private boolean pollInProgress;
+    private long delayMicros = FIRST_DELAY_MICROS;
+
+    DiscoveryBackoff(PolicySettings settings, LoadBalancerActions actions, SplittableRandom random) {
+        this.settings = settings;
+        this.actions = actions;
+        this.random = random;
+    }
+
+    /** Polls unless a call is in progress or a list has come. */
+    void poll() {
+        if (!pollInProgress && !listReceived) {
+            pollInProgress = true;
+            actions.pollEndpoints();
+        }
+    }
+
+    /** Takes the result of a call. A cached list was not a call's result. */
+    void onEndpointList(EndpointListType type) {
+        if (!settings.current().polledDiscovery() || type == EndpointListType.CACHED) {
+            return;
+        }
+        pollInProgress = false;
+        listReceived = type != EndpointListType.FAILED;
+        if (listReceived) {
+            delayMicros = FIRST_DELAY_MICROS;
+            return;
+        }
+        // Jittered, so that sidecars that failed together do not call together again.
+        long jitteredMicros = delayMicros / 2 + random.nextLong(delayMicros);
+        actions.startTimer(TimerNames.DISCOVERY_RETRY, jitteredMicros);
+        long maxDelayMicros = Math.min(MAX_DELAY_MICROS, settings.rules().pollIntervalMicros() / 2 + 1);
+        delayMicros = Math.min(delayMicros * 2, maxDelayMicros);
+    }
+}
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -19,8 +19,6 @@
     // ---- constants ------------------------------------------------------------------------------
     /** Eq. (4) is solved again this often: well under the seconds in which speeds and rates change. */
     private static final long RESOLVE_US = 100_000;
-    /** Time over which the own request rate is averaged: a burst shows within a second or two. */
-    private static final double RATE_US = 2_000_000;
     /** Step of the speed estimates: about ten answers tell a server's speed. */
     private static final double SPEED_GAIN = 0.1;
     /** One answer counts as at most this many times slower than expected: costs have long tails. */
@@ -29,8 +27,6 @@
     private static final double APART = 1.6;
     /** Without answers for this long an estimate starts to return, so that a server is tried again. */
     private static final long FORGET_US = 3_000_000;
-    /** First guess of cores where nothing tells; answers and reports correct it. */
-    static final double CORES_GUESS = 2;
     /** Square-root staffing: a server holds at most cores + this times root of cores. */
     private static final double CROWD = 1;
     /** A waiting request starts no later than this many expected services before its aim. */
@@ -59,9 +55,6 @@
     /** The best is forgotten by this at each solution, so that a lucky start does not count for ever. */
     private static final double CREEP = 1.0005;
 
-    private static final long HEARD_US = 5_000_000;
-    /** Points of the result that the probes of one pair may cost at most. */
-    private static final double TOLL = 0.005;
     /** The sidecars use this part of a cold server's budget: costs are estimates. */
     private static final double COLD_PART = 0.9;
     /** Requests of others that may have come to a server unseen before it is asked for its load. */
@@ -72,17 +65,10 @@
     private static final double MISSING = 6;
     /** Second copies for this part of the requests, and most saved up for a bad moment: they cost. */
     private static final double COPIES = 0.05, COPIES_MOST = 10;
-    /**
-     * Pauses after failed calls to discovery, half as much more or less: a change counts as told 6 s after it could be
-     * reached again (STANDING), and a call given up just then has taken 2.5 s of them.
-     */
-    private static final long ASK_FIRST_US = 500_000, ASK_MOST_US = 1_000_000;
     /** A probe not answered for this long may be sent again. */
     private static final long PROBE_US = 100_000;
     /** Draws in want of room before all are looked through; pairs asked before a short queue will do. */
     private static final int DRAWS = 4, PAIRS = 3;
-    /** Sidecars that share one server where connections cost: enough that their streams even out. */
-    private static final int SHARERS = 10;
     /** Least number of servers in a sidecar's subset: two draws and one in reserve. */
     private static final int FEWEST = 3;
     /** A connection idle for less than this is not suspected of having been dropped meanwhile. */
@@ -93,10 +79,12 @@
     private LoadBalancerSettings cfg;
     private final LoadBalancerActions out;
     private final SplittableRandom random;
-    private final Map<String, RequestClass> classes = new HashMap<>();
-    private double topWorth, coresGuess;
-    /** The shortest aim of the class of most worth: queues longer than that serve nobody in time. */
-    private long topAim, longestUs;
+    private final PolicySettings settings = new PolicySettings();
+    private final GossipState gossip = new GossipState();
+    private final WorkEstimator work;
+    private final RequestRateEstimator rates;
+    private final DiscoveryBackoff discovery;
+    private double coresGuess;
     /** The two drawn servers are asked for their load by probes: the paper's sampled load itself. */
     private boolean sampling;
     /** Connections and handshakes have a price: a sidecar keeps to a few servers of each kind. */
@@ -107,61 +95,42 @@
     private int home;
     private boolean telling;
 
-    public LoadBalancingPolicy(LoadBalancerSettings settings, long seed, long now, LoadBalancerActions actions) {
+    public LoadBalancingPolicy(LoadBalancerSettings initialSettings, long seed, long now, LoadBalancerActions actions) {
         out = actions;
         random = new SplittableRandom(seed);
-        for (RequestClass c : settings.requestClasses())
-            meanWork +=
-                    c.latencyObjectiveMicros() / 4.0 / settings.requestClasses().size();
-        take(settings);
-        rateAt = startedAt = loggedAt = now;
+        work = new WorkEstimator(initialSettings.requestClasses());
+        rates = new RequestRateEstimator(settings, gossip, now);
+        take(initialSettings);
+        loggedAt = now;
         solvedAt = now - RESOLVE_US;
-        if (cfg.polledDiscovery()) ask();
+        discovery = new DiscoveryBackoff(settings, actions, random);
+        if (cfg.polledDiscovery()) discovery.poll();
     }
 
     /** What was learned of servers and kinds stays, and open requests keep the class they came with. */
     @Override
-    public void onSettings(long now, LoadBalancerSettings settings) {
-        take(settings);
+    public void onSettings(long now, LoadBalancerSettings newSettings) {
+        take(newSettings);
         servers.values().forEach(s -> s.zone = Math.max(0, cfg.zones().indexOf(s.entry.zone())));
         changed(now);
     }
 
-    private void take(LoadBalancerSettings settings) {
-        cfg = settings;
-        classes.clear();
-        topWorth = cfg.requestClasses().stream()
-                .mapToDouble(RequestClass::priorityWeight)
-                .max()
-                .orElse(0);
-        for (RequestClass c : cfg.requestClasses()) {
-            classWork.putIfAbsent(c.name(), c.latencyObjectiveMicros() / 4.0);
-            classes.put(c.name(), c);
-        }
-        topAim = cfg.requestClasses().stream()
-                .filter(c -> c.priorityWeight() == topWorth)
-                .mapToLong(RequestClass::latencyObjectiveMicros)
-                .min()
-                .orElse(0);
-        longestUs = cfg.requestClasses().stream()
-                .mapToLong(RequestClass::deadlineMicros)
-                .max()
-                .orElse(0);
+    private void take(LoadBalancerSettings newSettings) {
+        cfg = newSettings;
+        settings.apply(newSettings);
+        work.addClasses(cfg.requestClasses());
         // Numbers of other settings may be other sidecars': they tell again within a second.
-        peers = new Peer[cfg.sidecarCount()];
-        zoneRate = new double[cfg.zones().size()];
-        sampling = cfg.limits().healthChecks()
-                && cfg.loadReporting() != LoadReporting.NONE
-                && 2 * cfg.prices().healthCheck() <= TOLL;
-        hedging = sampling && cfg.limits().hedging();
-        subset = cfg.prices().connection() > 0 && cfg.prices().handshake() > 0;
-        blind = !sampling && cfg.sidecarCount() > SHARERS;
-        coresGuess = cfg.loadReporting() == LoadReporting.NONE ? CORES_GUESS : 1;
+        gossip.reset(cfg.sidecarCount(), cfg.zones().size());
+        sampling = settings.samplesLoad();
+        hedging = settings.hedgesRequests();
+        subset = settings.usesSubset();
+        blind = settings.localLoadIsSmallPart();
+        coresGuess = settings.initialCores();
         for (String k : cfg.machineTypes()) kinds.computeIfAbsent(k, x -> new Kind(coresGuess));
-        home = Math.max(0, cfg.zones().indexOf(cfg.zone()));
+        home = settings.localZone();
         if (!telling && cfg.limits().gossip() && cfg.sidecarCount() > 1) {
             telling = true;
-            out.startTimer("tell", TELL_US / 2 + random.nextLong(TELL_US));
+            out.startTimer(TimerNames.GOSSIP, TELL_US / 2 + random.nextLong(TELL_US));
         }
     }
 
@@ -177,7 +146,7 @@
 
     @Override
     public void onEndpointList(long now, EndpointListType listKind, List<Endpoint> entries) {
-        listAnswered(now, listKind);
+        discovery.onEndpointList(listKind);
         if (listKind == EndpointListType.FAILED) return;
         Set<String> named = new HashSet<>();
         for (Endpoint u : entries) {
@@ -231,7 +200,7 @@
     }
 
     private boolean priced() {
-        return cfg.prices().crossZone() >= 0.02;
+        return settings.crossZoneIsPriced();
     }
 
     /** A hash that spreads neighbouring numbers; the same at every sidecar. */
@@ -249,12 +218,15 @@
     private List<Server> members(long now) {
         zonePart = zoneParts(now);
         if (!subset) return ready;
-        double arc = SHARERS * ready.size() * ownRate / Math.max(1e-9, fleetRate());
+        double arc = PolicySettings.SIDECARS_PER_ENDPOINT
+                * ready.size()
+                * rates.localPerSecond()
+                / Math.max(1e-9, rates.fleetPerSecond());
         wantedMembers = Math.max(Math.max(FEWEST, arc), 0.9 * wantedMembers);
         // Where idle connections are dropped, no more than are used often enough.
-        double hot = idleLimit < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimit / 2e6) : wantedMembers;
+        double hot = idleLimit < Long.MAX_VALUE ? Math.max(1, rates.localPerSecond() * idleLimit / 2e6) : wantedMembers;
         Map<List<Object>, List<Server>> parts = new LinkedHashMap<>();
-        int[] size = new int[zoneRate.length];
+        int[] size = new int[gossip.zoneCount()];
         for (Server s : ready) {
             parts.computeIfAbsent(List.of(s.zone, s.entry.machineType()), k -> new ArrayList<>())
                     .add(s);
@@ -278,14 +250,14 @@
      * for what it is asked beyond its part of the fleet. Without word of peers all stay.
      */
     private double[] zoneParts(long now) {
-        double[] part = new double[zoneRate.length];
+        double[] part = new double[gossip.zoneCount()];
         for (Server s : ready) part[s.zone] += 1.0 / ready.size();
         if (!priced() || !blind) return part;
-        double total = heard > 0 ? Arrays.stream(zoneRate).sum() : 0;
-        double stay = total <= 0 ? 1 : Math.min(1, part[home] * total / Math.max(1e-9, zoneRate[home]));
+        double total = gossip.livePeers() > 0 ? gossip.meanRate() : 0;
+        double stay = total <= 0 ? 1 : Math.min(1, part[home] * total / Math.max(1e-9, gossip.zoneRate(home)));
         double gaps = 0;
         for (int z = 0; z < part.length; z++) {
-            part[z] = z == home || total <= 0 ? 0 : Math.max(0, part[z] - zoneRate[z] / total);
+            part[z] = z == home || total <= 0 ? 0 : Math.max(0, part[z] - gossip.zoneRate(z) / total);
             gaps += part[z];
         }
         for (int z = 0; z < part.length; z++) part[z] *= (1 - stay) / Math.max(1e-9, gaps);
@@ -299,12 +271,6 @@
     }
 
     // ---- estimators -----------------------------------------------------------------------------
-    private final Map<String, Double> classWork = new HashMap<>();
-    private double meanWork, ownRate;
-    private int arrivals;
-    private long rateAt;
-    private final long startedAt;
-
     /** The part of its full capacity that a server can surely do now: the slowest ramp the settings allow. */
     private double warmth(Server s, long now) {
         long age = now - s.entry.startedMicros();
@@ -315,7 +281,7 @@
 
     /** Requests a server holds, as far as known: own, and those of others by its own word where fresh. */
     private double load(Server s, long now) {
-        double done = (now - s.reportedAt) * s.kind.cores / (s.slow() * meanWork);
+        double done = (now - s.reportedAt) * s.kind.cores / (s.slow() * work.meanWorkMicros());
         int missing = 0;
         Attempt oldest = null;
         for (Attempt a : s.attempts) {
@@ -341,13 +307,13 @@
     }
 
     /** Time that work would take on a server that holds {@code held} others, served first come first. */
-    private double expected(Server s, double work, double held, long now) {
-        return s.slow() * (work + waiting(s, held)) / warmth(s, now);
+    private double expected(Server s, double requestWork, double held, long now) {
+        return s.slow() * (requestWork + waiting(s, held)) / warmth(s, now);
     }
 
     private double waiting(Server s, double held) {
         double cores = Math.max(1, s.kind.cores);
-        return Math.max(0, held + 1 - cores) / cores * meanWork;
+        return Math.max(0, held + 1 - cores) / cores * work.meanWorkMicros();
     }
 
     private void learn(Server s, Attempt a, long latencyUs, boolean success, long now) {
@@ -371,7 +337,7 @@
         s.apart *= 1 + gain * (Math.min(TAIL, relative / s.slow()) - 1);
         if (success && a.req.request.costHintMicros() <= 0) {
             double step = SPEED_GAIN / 4 * (Math.min(TAIL, relative / s.slow()) - 1);
-            classWork.computeIfPresent(a.req.spec.name(), (c, work) -> work * (1 + step));
+            work.adjustClass(a.req.spec.name(), step);
         }
     }
 
@@ -396,23 +362,6 @@
         }
     }
 
-    /** Weights fall by e in RATE_US; their sum so far counts, lest a first request at once be a flood. */
-    private void measure(long now) {
-        double passed = Math.max(1, now - rateAt);
-        double past = Math.exp((startedAt - rateAt) / RATE_US);
-        double keep = (1 - past) / (Math.exp(passed / RATE_US) - past);
-        ownRate = keep * ownRate + (1 - keep) * arrivals * 1e6 / passed;
-        arrivals = 0;
-        rateAt = now;
-        gather(now);
-    }
-
-    /** The mean of the streams heard of, own one included, times their number. */
-    private double fleetRate() {
-        double mean = Arrays.stream(zoneRate).sum();
-        return cfg.sidecarCount() * (mean > 0 ? mean : ownRate);
-    }
-
     // ---- split ----------------------------------------------------------------------------------
     private long solvedAt, loggedAt;
     /** More than half the servers are left out: failures that hit all alike say little of any one. */
@@ -425,46 +374,10 @@
     /** Their shares, summed up. */
     private double shares;
 
-    /**
-     * Eq. (4) over groups of {@code k} servers of speed {@code mu}; those with a negative share are dropped and the
-     * rest solved again. The shares sum to 1, or all are 0.
-     */
-    static double[] split(double[] k, double[] mu, double lambda) {
-        int n = k.length;
-        double[] p = new double[n];
-        boolean[] in = new boolean[n];
-        double capacity = 0;
-        for (int i = 0; i < n; i++) {
-            in[i] = k[i] > 0 && mu[i] > 0;
-            capacity += in[i] ? k[i] * mu[i] : 0;
-        }
-        // Rate 0 has the limit of low rates; past capacity the split stays proportional (Corollary 3).
-        double rate = Math.max(capacity * 1e-6, Math.min(lambda, capacity));
-        for (int round = 0; round < n; round++) {
-            double roots = 0, sum = 0;
-            for (int i = 0; i < n; i++) {
-                roots += in[i] ? k[i] * Math.sqrt(mu[i]) : 0;
-                sum += in[i] ? k[i] * mu[i] : 0;
-            }
-            boolean dropped = false;
-            for (int i = 0; i < n; i++) {
-                double root = Math.sqrt(mu[i]);
-                p[i] = in[i] ? k[i] * (mu[i] * roots - root * sum + rate * root) / (rate * roots) : 0;
-                if (p[i] < 0) {
-                    in[i] = false;
-                    dropped = true;
-                }
-            }
-            if (!dropped) break;
-        }
-        for (int i = 0; i < n; i++) p[i] = Math.max(0, Math.min(1, p[i]));
-        return p;
-    }
-
     /** Keeps the rate and the shares current; called with every request. */
     private void refresh(long now) {
         if (now - solvedAt < RESOLVE_US) return;
-        measure(now);
+        rates.measure(now);
         solvedAt = now;
         logState(now);
         panic = 2
@@ -498,14 +411,14 @@
             double slow = 0;
             for (Server s : groups.get(i)) slow += s.slow();
             k[i] = groups.get(i).size();
-            mu[i] = 1e6 * first.kind.cores * warmth(first, now) / (slow / k[i] * meanWork);
+            mu[i] = 1e6 * first.kind.cores * warmth(first, now) / (slow / k[i] * work.meanWorkMicros());
             for (Server s : groups.get(i)) {
                 if (now < s.ejectedUntil) continue;
                 coresNow += s.kind.cores * warmth(s, now) * ready.size() / members.size();
                 capacity += mu[i] * ready.size() / members.size();
             }
         }
-        double[] p = split(k, mu, fleetRate() * members.size() / Math.max(1, ready.size()));
+        double[] p = HaloSplit.split(k, mu, rates.fleetPerSecond() * members.size() / Math.max(1, ready.size()));
         for (int i = 0; i < k.length; i++) {
             for (Server s : groups.get(i)) {
                 // The floor only matters when all servers with a share are full.
@@ -523,10 +436,11 @@
     private void logState(long now) {
         if (now - loggedAt < LOG_US) return;
         loggedAt = now;
-        StringBuilder text = new StringBuilder("rate " + Math.round(ownRate) + " of "
-                + Math.round(fleetRate()) + " a second, waiting " + waiting.size() + ", held "
+        StringBuilder text = new StringBuilder("rate " + Math.round(rates.localPerSecond()) + " of "
+                + Math.round(rates.fleetPerSecond()) + " a second, waiting " + waiting.size() + ", held "
                 + Math.round(held(now)) + " of " + Math.round(fleetHeld(now)) + " on " + Math.round(coresNow)
-                + " cores, " + heard + " peers heard, mean work " + Math.round(meanWork) + " us");
+                + " cores, " + gossip.livePeers() + " peers heard, mean work "
+                + Math.round(work.meanWorkMicros()) + " us");
         kinds.forEach((name, k) -> text.append("; " + name + " cores " + Math.round(k.cores * 100) / 100.0 + " slow "
                 + Math.round(k.slow * 100) / 100.0));
         for (Server s : ready) {
@@ -625,7 +539,8 @@
      */
     private boolean known(long now, Req r, Server s) {
         if (s.reportedAt >= r.askedAt) return true;
-        double strangers = Math.max(0, fleetRate() - ownRate) / Math.max(1, ready.size()) / 1e6;
+        double strangers =
+                Math.max(0, rates.fleetPerSecond() - rates.localPerSecond()) / Math.max(1, ready.size()) / 1e6;
         return (now - s.reportedAt) * strangers < UNSEEN;
     }
 
@@ -682,18 +597,18 @@
 
     @Override
     public void onRequest(long now, Request request) {
-        arrivals++;
+        rates.countArrival();
         copies = Math.min(COPIES_MOST, copies + COPIES);
         Req r = new Req();
         r.request = request;
-        r.spec = classes.get(request.requestClass());
+        r.spec = settings.requestClass(request.requestClass());
         if (r.spec == null) throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        r.work = request.costHintMicros() > 0 ? request.costHintMicros() : classWork.get(r.spec.name());
-        meanWork += 0.01 * (Math.min(r.work, TAIL * meanWork) - meanWork);
+        r.work = work.workMicros(request);
+        work.countArrival(r.work);
         r.deadline = now + request.remainingMicros();
         long aim = (long) (r.spec.latencyObjectiveMicros() + r.spec.latencyObjectiveWorkRatio() * r.work);
         r.usefulUntil = Math.min(r.deadline, now + (r.spec.lateWeight() > 0 ? request.remainingMicros() : aim));
-        double rank = (1 - r.spec.priorityWeight() / topWorth) / 2 + (request.retry() ? 1 : 0);
+        double rank = (1 - settings.relativePriority(r.spec)) / 2 + (request.retry() ? 1 : 0);
         r.order = now + aim + (long) (rank * aim);
         open.put(request.id(), r);
         refresh(now);
@@ -718,13 +633,16 @@
 
     /** Requests of others on a server that tells no load, by its part of the warm cores, as far as told. */
     private double strangers(Server s, long now) {
-        if (cfg.loadReporting() != LoadReporting.NONE || heard == 0 || coresNow <= 0 || now < s.ejectedUntil) return 0;
+        if (cfg.loadReporting() != LoadReporting.NONE
+                || gossip.livePeers() == 0
+                || coresNow <= 0
+                || now < s.ejectedUntil) return 0;
         return (fleetHeld(now) - held(now)) * s.kind.cores * warmth(s, now) / coresNow;
     }
 
     /** The same for all sidecars, as far as they have told: the own part of a server's queue may be small. */
     private double fleetHeld(long now) {
-        return cfg.sidecarCount() * (held(now) + heldElsewhere) / (heard + 1);
+        return cfg.sidecarCount() * (held(now) + gossip.remoteInFlight()) / (gossip.livePeers() + 1);
     }
 
     /**
@@ -734,7 +652,7 @@
     private boolean shed(long now, Req r) {
         if (capacity <= 0) return false;
         double wait = 1e6 * (fleetHeld(now) - coresNow) / capacity;
-        double part = wait / (topAim * Math.sqrt(r.spec.priorityWeight() / topWorth));
+        double part = wait / (settings.topLatencyObjectiveMicros() * Math.sqrt(settings.relativePriority(r.spec)));
         return random.nextDouble() * (FULL - CALM) < part - CALM;
     }
 
@@ -754,7 +672,7 @@
     private void sweepLater() {
         if (!holdTimer && !waiting.isEmpty()) {
             holdTimer = true;
-            out.startTimer("hold", SWEEP_US);
+            out.startTimer(TimerNames.QUEUE_SWEEP, SWEEP_US);
         }
     }
 
@@ -818,7 +736,7 @@
      * budget holds (a window meets three): an equal part each, the rest by turn of number, server and slot. A server
      * asked first gives twice the turns, one by one: each sees the last.
      */
-    private boolean coldRoom(long now, Server s, double work) {
+    private boolean coldRoom(long now, Server s, double requestWork) {
         if (warmth(s, now) >= 1) return true;
         long slot = coldSlot(s, now);
         long slotStart = s.entry.startedMicros() + slot * (cfg.rules().overloadWindowMicros() / 2);
@@ -827,19 +745,21 @@
                 * cfg.rules().overloadMultiple()
                 * capacity
                 * cfg.rules().overloadWindowMicros();
-        long requests = (long) (budget / (sampling ? 1.5 : 3) / meanWork);
+        long requests = (long) (budget / (sampling ? 1.5 : 3) / work.meanWorkMicros());
         long turn = Math.floorMod(cfg.sidecarIndex() - mix(s.id.hashCode(), (int) slot), cfg.sidecarCount());
         long own = requests / cfg.sidecarCount() + (turn < requests % cfg.sidecarCount() ? 1 : 0);
         if (!sampling && requests < cfg.sidecarCount()) own = turn < turns(s, requests) ? most(requests) : 0;
         long spacing = sampling ? cfg.rules().overloadWindowMicros() / 4 / Math.max(1, requests) : 0;
         double sent = s.coldSlot == slot ? s.coldSent : 0;
         boolean due = own > 0 && now >= slotStart + turn * spacing;
-        return due && work <= TAIL * meanWork && (sent == 0 || sent + work <= own * meanWork);
+        return due
+                && requestWork <= TAIL * work.meanWorkMicros()
+                && (sent == 0 || sent + requestWork <= own * work.meanWorkMicros());
     }
 
     /** The most that this sidecar sends a cold server in a slot: by its part of the fleet's rate, but one. */
     private long most(long requests) {
-        return 1 + (long) (requests * ownRate / Math.max(1e-9, fleetRate()));
+        return 1 + (long) (requests * rates.localPerSecond() / Math.max(1e-9, rates.fleetPerSecond()));
     }
 
     /**
@@ -848,8 +768,13 @@
      * slot's requests. The less busy of two drawn is one that has nothing to do.
      */
     private double turns(Server s, long requests) {
-        double drawn = 2 * fleetRate() * cfg.rules().overloadWindowMicros() / 2e6 * s.share / Math.max(1e-9, shares);
-        double ownDrawn = drawn * ownRate / Math.max(1e-9, fleetRate());
+        double drawn = 2
+                * rates.fleetPerSecond()
+                * cfg.rules().overloadWindowMicros()
+                / 2e6
+                * s.share
+                / Math.max(1e-9, shares);
+        double ownDrawn = drawn * rates.localPerSecond() / Math.max(1e-9, rates.fleetPerSecond());
         double sent = drawn * Math.min(1, most(requests) / Math.max(1e-9, ownDrawn));
         return cfg.sidecarCount() * requests / Math.max(1e-9, sent);
     }
@@ -887,12 +812,12 @@
         s.usedAt = now;
         out.sendAttempt(r.request.id(), s.id, r.deadline);
         if (hedging && repeatable(r.spec, a, s, now)) {
-            out.startTimer(LATE + r.request.id(), Math.max(SWEEP_US, (long) (OVERDUE * a.expected)));
+            out.startTimer(
+                    TimerNames.ATTEMPT_OVERDUE + r.request.id(), Math.max(SWEEP_US, (long) (OVERDUE * a.expected)));
         }
     }
 
     // ---- second copies --------------------------------------------------------------------------
-    private static final String LATE = "late:", MUTE = "mute:";
     /** A second copy is allowed, and a probe tells a server that stands still from one at work. */
     private boolean hedging;
 
@@ -921,7 +846,7 @@
         if (a == null || a.server.gone) return;
         r.lateAt = now;
         probe(now, a.server);
-        out.startTimer(MUTE + r.request.id(), SWEEP_US);
+        out.startTimer(TimerNames.HEALTH_CHECK_DUE + r.request.id(), SWEEP_US);
     }
 
     private void copyUnlessHeld(long now, Req r) {
@@ -933,7 +858,7 @@
         if (!answered) {
             a.server.mutedAt = now;
         } else if (!a.lost) {
-            out.startTimer(LATE + r.request.id(), Math.max(SWEEP_US, (long) (a.expected / 2)));
+            out.startTimer(TimerNames.ATTEMPT_OVERDUE + r.request.id(), Math.max(SWEEP_US, (long) (a.expected / 2)));
             return;
         }
         refresh(now);
@@ -1006,6 +931,8 @@
     /** Idle connections are dropped unseen after about this long, as far as known. */
     private long idleLimit = Long.MAX_VALUE;
 
+    private double[] zonePart;
+
     private long idleSeenAt, idleKept, idleKeptAt;
     /** Seen by own failures, which alone are told on: word of word would never end. */
     private long idleOwnAt = Long.MIN_VALUE / 2;
@@ -1119,69 +1046,22 @@
     @Override
     public void onTimer(long now, String mark) {
         switch (mark) {
-            case "hold" -> {
+            case TimerNames.QUEUE_SWEEP -> {
                 holdTimer = false;
                 dispatch(now, true);
                 sweepLater();
             }
-            case "tell" -> tell(now);
-            case "ask" -> ask();
+            case TimerNames.GOSSIP -> tell(now);
+            case TimerNames.DISCOVERY_RETRY -> discovery.poll();
             default -> {
                 Req r = open.get(mark.substring(mark.indexOf(':') + 1));
-                if (mark.startsWith(LATE)) late(now, r);
-                else if (mark.startsWith(MUTE)) copyUnlessHeld(now, r);
+                if (mark.startsWith(TimerNames.ATTEMPT_OVERDUE)) late(now, r);
+                else if (mark.startsWith(TimerNames.HEALTH_CHECK_DUE)) copyUnlessHeld(now, r);
             }
         }
     }
 
-    // ---- discovery ------------------------------------------------------------------------------
-    private boolean subscribed, asking;
-    private long askDelay = ASK_FIRST_US;
-
-    private void ask() {
-        if (!asking && !subscribed) {
-            asking = true;
-            out.pollEndpoints();
-        }
-    }
-
-    private void listAnswered(long now, EndpointListType kind) {
-        if (!cfg.polledDiscovery() || kind == EndpointListType.CACHED) return;
-        asking = false;
-        subscribed = kind != EndpointListType.FAILED;
-        // Jittered, so that instances that failed together do not ask together again.
-        if (!subscribed) out.startTimer("ask", askDelay / 2 + random.nextLong(askDelay));
-        long most = Math.min(ASK_MOST_US, cfg.rules().pollIntervalMicros() / 2 + 1);
-        askDelay = subscribed ? ASK_FIRST_US : Math.min(askDelay * 2, most);
-    }
-
     // ---- peers ----------------------------------------------------------------------------------
-    /** What each told last, by number; null before its first word. */
-    private Peer[] peers;
-    /** Mean rate of the sidecars heard of lately and this one, apart by their zone. */
-    private double[] zoneRate;
-
-    private double[] zonePart;
-    /** Peers heard of lately, and what they hold together. */
-    private int heard;
-
-    private double heldElsewhere;
-
-    /** Words are lost, and who is killed says nothing any more: what is old does not count. */
-    private void gather(long now) {
-        Arrays.fill(zoneRate, 0);
-        zoneRate[home] = ownRate;
-        heard = 0;
-        heldElsewhere = 0;
-        for (Peer p : peers) {
-            if (p == null || now - p.at > HEARD_US) continue;
-            heard++;
-            zoneRate[p.zone] += p.rate;
-            heldElsewhere += p.held;
-        }
-        for (int z = 0; z < zoneRate.length; z++) zoneRate[z] /= heard + 1;
-    }
-
     /**
      * To all, while all words together cost little; in a fleet so large or so quiet that they would cost more, to some
      * at random: the means need a sample only.
@@ -1189,10 +1069,10 @@
     private void tell(long now) {
         telling = cfg.limits().gossip() && cfg.sidecarCount() > 1;
         if (!telling) return;
-        measure(now);
+        rates.measure(now);
         GossipMessage word = new GossipMessage(cfg.machineTypes().size());
         word.zone = home;
-        word.rate = ownRate;
+        word.rate = rates.localPerSecond();
         word.held = held(now);
         for (int i = 0; i < word.slow.length; i++) {
             Kind k = kinds.get(cfg.machineTypes().get(i));
@@ -1205,7 +1085,7 @@
         int others = cfg.sidecarCount() - 1;
         // The price is for bytes by request, over the fleet: each sidecar pays for its part of the rate.
         double each = cfg.prices().gossip() * bytes.length / 256 * 1e6 / TELL_US;
-        double paid = PEER_TOLL * fleetRate() / cfg.sidecarCount() / Math.max(1e-9, each);
+        double paid = PEER_TOLL * rates.fleetPerSecond() / cfg.sidecarCount() / Math.max(1e-9, each);
         if (paid >= others) {
             out.sendGossip(-1, bytes);
         } else {
@@ -1213,7 +1093,7 @@
                 out.sendGossip((cfg.sidecarIndex() + 1 + random.nextInt(others)) % cfg.sidecarCount(), bytes);
             }
         }
-        out.startTimer("tell", TELL_US);
+        out.startTimer(TimerNames.GOSSIP, TELL_US);
     }
 
     /** Speeds weigh by the answers behind them. One false message moves little, and the next take it back. */
@@ -1221,15 +1101,13 @@
     public void onGossip(long now, int peer, byte[] message) {
         boolean known = peer >= 0 && peer < cfg.sidecarCount() && peer != cfg.sidecarIndex();
         GossipMessage word = new GossipMessage(cfg.machineTypes().size());
-        if (!known || !word.read(message) || word.zone >= zoneRate.length) return;
-        Peer p = peers[peer] == null ? peers[peer] = new Peer() : peers[peer];
+        if (!known || !word.read(message) || word.zone >= gossip.zoneCount()) return;
         double quotas =
                 cfg.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
-        p.rate = quotas > 0 ? Math.min(word.rate, FAR_FETCHED * quotas) : word.rate;
+        double rate = quotas > 0 ? Math.min(word.rate, FAR_FETCHED * quotas) : word.rate;
         // Nobody holds more than what came within the longest deadline.
-        p.held = Math.min(word.held, 1 + p.rate * longestUs / 1e6);
-        p.zone = word.zone;
-        p.at = now;
+        double held = Math.min(word.held, 1 + rate * settings.longestDeadlineMicros() / 1e6);
+        gossip.record(peer, new GossipPeer(rate, held, word.zone, now));
         for (int i = 0; i < word.slow.length; i++) {
             Kind k = kinds.get(cfg.machineTypes().get(i));
             int answers = Math.min(EVIDENCE, word.answers[i]);
--- a/src/main/java/loadbalancer/decision/PolicyState.java
+++ b/src/main/java/loadbalancer/decision/PolicyState.java
@@ -128,14 +128,4 @@
         /** Its server does not hold it: its time-out will speak of the connection alone. */
         boolean lost;
     }
-
-    /** What another sidecar told of itself. */
-    static final class Peer {
-        double rate;
-        /** Requests that the servers hold for it. */
-        double held;
-
-        int zone;
-        long at;
-    }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/RequestRateEstimator.java
@@ -0,0 +1,53 @@
+package loadbalancer.decision;
+
+/**
+ * Estimates the requests a second that come to this sidecar, by an exponentially weighted mean, and from it and gossip
+ * those that come to the fleet: the arrival rate of Eq. (4).
+ */
+final class RequestRateEstimator {
+    /** A burst shows within a second or two. */
+    private static final double AVERAGING_MICROS = 2_000_000;
+
+    private final PolicySettings settings;
+    private final GossipState gossip;
+    private final long startedMicros;
+    private long measuredMicros;
+    private int arrivals;
+    private double localRate;
+
+    RequestRateEstimator(PolicySettings settings, GossipState gossip, long nowMicros) {
+        this.settings = settings;
+        this.gossip = gossip;
+        startedMicros = nowMicros;
+        measuredMicros = nowMicros;
+    }
+
+    void countArrival() {
+        arrivals++;
+    }
+
+    /**
+     * Takes the arrivals since the last call into the mean. The weights are scaled by their sum since the start, so
+     * that a first request right after the start is no flood.
+     */
+    void measure(long nowMicros) {
+        double passedMicros = Math.max(1, nowMicros - measuredMicros);
+        double beforeStart = Math.exp((startedMicros - measuredMicros) / AVERAGING_MICROS);
+        double keep = (1 - beforeStart) / (Math.exp(passedMicros / AVERAGING_MICROS) - beforeStart);
+        localRate = keep * localRate + (1 - keep) * arrivals * 1e6 / passedMicros;
+        arrivals = 0;
+        measuredMicros = nowMicros;
+        gossip.summarize(nowMicros, settings.localZone(), localRate);
+    }
+
+    /** Requests a second to this sidecar. */
+    double localPerSecond() {
+        return localRate;
+    }
+
+    /** Requests a second to the fleet: the mean of this sidecar and its live peers, times the number of sidecars. */
+    double fleetPerSecond() {
+        double mean = gossip.meanRate();
+        return settings.sidecarCount() * (mean > 0 ? mean : localRate);
+    }
+}
