--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -18,194 +19,215 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A loop that is late finds a client's request, its leaving and what else came all together. Whatever it reads first,
- * no attempt begins for who has left. The loop is held here by the module, on a request whose id says so.
+ * A late event loop finds the request of a client, its disconnection and other events all at once. In whatever order it
+ * reads them, no attempt is sent for a client that has disconnected. The load balancer of these tests blocks the loop
+ * on requests whose id begins with {@code block}.
  */
 @Timeout(60)
 class ClientDisconnectTest {
-    /** The order in which ready sockets are read is not ours to choose: each crossing is played several times. */
+    /** The order in which the system reports ready sockets varies: each case is repeated. */
     private static final int ROUNDS = 6;
 
-    private final Semaphore held = new Semaphore(0);
-    private final Semaphore goOn = new Semaphore(0);
-    private SidecarFixture rig;
+    private final Semaphore blocked = new Semaphore(0);
+    private final Semaphore unblock = new Semaphore(0);
+    private SidecarFixture sidecar;
+
+    private enum Disconnection {
+        CLOSE,
+        RESET;
+
+        static Disconnection ofRound(int round) {
+            return round % 2 > 0 ? RESET : CLOSE;
+        }
+    }
 
     @BeforeEach
-    void start() throws Exception {
-        rig = new SidecarFixture();
-        rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
-        rig.onRequest = (now, r, out) -> {
-            if (r.id().startsWith("hold")) {
-                held.release();
-                goOn.acquireUninterruptibly();
-                out.fail(r.id());
+    void createSidecar() throws Exception {
+        sidecar = new SidecarFixture();
+        sidecar.upstream((request, connection) -> connection.answer("200 OK", "", request.header("X-Txn")));
+        sidecar.onRequest = (now, request, out) -> {
+            if (request.id().startsWith("block")) {
+                blocked.release();
+                unblock.acquireUninterruptibly();
+                out.fail(request.id());
             } else {
-                out.sendAttempt(r.id(), "u0", 0);
+                out.sendAttempt(request.id(), "u0", 0);
             }
         };
     }
 
     @AfterEach
-    void end() throws Exception {
-        rig.close();
+    void closeSidecar() throws Exception {
+        sidecar.close();
     }
 
-    private void hold(StubServer.Client by, int round) throws Exception {
-        by.send(SidecarFixture.get("hold" + round, 20_000));
-        held.acquire();
+    private void blockLoop(StubServer.Client blocker, int round) throws Exception {
+        blocker.send(SidecarFixture.get("block" + round, 20_000));
+        blocked.acquire();
     }
 
-    /** The clients have left by now; their leaving has to be older than what may go unseen. */
-    private void letGo(StubServer.Client held) throws Exception {
+    /** Waits first until a read from before the clients disconnected is too old to start an attempt after. */
+    private void unblockLoop(StubServer.Client blocker) throws Exception {
         Thread.sleep(2 * ReadTrackingEventLoop.FRESH_US / 1000);
-        goOn.release();
-        assertEquals(502, held.status());
+        unblock.release();
+        assertEquals(502, blocker.status());
     }
 
-    private static void leave(StubServer.Client client, boolean reset) throws Exception {
-        if (reset) {
+    private static void disconnect(StubServer.Client client, Disconnection how) throws IOException {
+        if (how == Disconnection.RESET) {
             client.socket.setSoLinger(true, 0);
         }
         client.close();
     }
 
+    private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
+        assertEquals(expected, client.send(request).status());
+    }
+
+    /** The attempt was withdrawn or never started: one with a response would have been sent. */
+    private void assertNeverSent(String id) throws Exception {
+        assertEquals("outcome " + id + " 0 NOT_SENT true -", sidecar.await("outcome " + id + " 0"));
+    }
+
     @Test
-    void nothingBeginsForARequestThatWaitedTogetherWithItsClientsEnd() throws Exception {
-        rig.start();
-        try (StubServer.Client holder = rig.client()) {
-            for (int i = 0; i < ROUNDS; i++) {
-                StubServer.Client known = rig.client();
-                known.send(SidecarFixture.get("first" + i, 20_000));
-                assertEquals(200, known.status());
-                hold(holder, i);
-                known.send(SidecarFixture.get("gone" + i, 20_000));
-                leave(known, false);
-                // Not accepted yet: it waits in the backlog with all it had to say.
-                StubServer.Client fresh = rig.client();
-                fresh.send(SidecarFixture.get("new" + i, 20_000));
-                leave(fresh, false);
-                letGo(holder);
-                assertNeverSent("gone" + i);
-                assertNeverSent("new" + i);
+    void noAttemptStartsForARequestThatIsReadTogetherWithItsDisconnection() throws Exception {
+        sidecar.start();
+        try (StubServer.Client blocker = sidecar.client()) {
+            for (int round = 0; round < ROUNDS; round++) {
+                StubServer.Client accepted = sidecar.client();
+                assertStatus(200, accepted, SidecarFixture.get("first" + round, 20_000));
+                blockLoop(blocker, round);
+                accepted.send(SidecarFixture.get("gone" + round, 20_000));
+                disconnect(accepted, Disconnection.CLOSE);
+                // Waits in the listener's backlog, with its request and its end.
+                StubServer.Client unaccepted = sidecar.client();
+                unaccepted.send(SidecarFixture.get("new" + round, 20_000));
+                disconnect(unaccepted, Disconnection.CLOSE);
+                unblockLoop(blocker);
+                assertNeverSent("gone" + round);
+                assertNeverSent("new" + round);
             }
         }
     }
 
-    /** Either it is withdrawn or it was never begun: with an answer it had been sent on. */
-    private void assertNeverSent(String id) throws Exception {
-        assertEquals("outcome " + id + " 0 NOT_SENT true -", rig.await("outcome " + id + " 0"));
+    /** Adds the endpoint {@code full} to the list; requests whose id begins with {@code gone} are sent there. */
+    private void routeToFullEndpoint(ServerSocket server) {
+        String address = "127.0.0.1:" + server.getLocalPort();
+        sidecar.discovery.script = (request, connection) -> {
+            if (request.path().contains("index=41&")) {
+                String entry = SidecarFixture.entry("full", address, "Ready", 0);
+                connection.answer("200 OK", "", SidecarFixture.list(42, false, entry));
+            }
+        };
+        SidecarFixture.RequestHandler others = sidecar.onRequest;
+        sidecar.onRequest = (now, request, out) -> {
+            if (request.id().startsWith("gone")) {
+                out.sendAttempt(request.id(), "full", 0);
+            } else {
+                others.handle(now, request, out);
+            }
+        };
     }
 
-    /** A listener whose backlog is full lets nobody in: the connection comes up when the test accepts the others. */
+    /** A connection to an endpoint with a full backlog is established once the test accepts the ones before it. */
     @Test
-    void nothingBeginsOnAConnectionThatComesUpAsItsClientLeaves() throws Exception {
-        try (ServerSocket late = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            rig.discovery.script = (m, line) -> {
-                if (m.path().contains("index=41&")) {
-                    line.answer(
-                            "200 OK",
-                            "",
-                            SidecarFixture.list(
-                                    42,
-                                    false,
-                                    SidecarFixture.entry("late", "127.0.0.1:" + late.getLocalPort(), "Ready", 0)));
-                }
-            };
-            SidecarFixture.RequestHandler usual = rig.onRequest;
-            rig.onRequest = (now, r, out) -> {
-                if (r.id().startsWith("gone")) {
-                    out.sendAttempt(r.id(), "late", 0);
-                } else {
-                    usual.handle(now, r, out);
-                }
-            };
-            rig.start();
-            rig.await("list DELTA late=READY");
-            try (StubServer.Client holder = rig.client()) {
-                for (int i = 0; i < 3; i++) {
+    void noAttemptStartsOnAConnectionThatIsEstablishedAsTheClientDisconnects() throws Exception {
+        try (ServerSocket endpoint = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            routeToFullEndpoint(endpoint);
+            sidecar.start();
+            sidecar.await("list DELTA full=READY");
+            try (StubServer.Client blocker = sidecar.client()) {
+                for (int round = 0; round < 3; round++) {
                     List<Socket> fillers = List.of(
-                            new Socket(late.getInetAddress(), late.getLocalPort()),
-                            new Socket(late.getInetAddress(), late.getLocalPort()));
-                    StubServer.Client client = rig.client();
-                    client.send(SidecarFixture.get("gone" + i, 20_000));
-                    rig.await("request gone" + i);
-                    // Answered behind the request's turn: by then its connection has been asked for.
-                    holder.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
-                    assertEquals(404, holder.status());
-                    hold(holder, i);
-                    leave(client, i % 2 > 0);
+                            new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()),
+                            new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
+                    StubServer.Client client = sidecar.client();
+                    client.send(SidecarFixture.get("gone" + round, 20_000));
+                    sidecar.await("request gone" + round);
+                    // Read in a later iteration: by then the connection for the attempt is being opened.
+                    assertStatus(404, blocker, "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
+                    blockLoop(blocker, round);
+                    disconnect(client, Disconnection.ofRound(round));
                     for (Socket filler : fillers) {
-                        late.accept().close();
+                        endpoint.accept().close();
                         filler.close();
                     }
-                    try (Socket dialled = late.accept()) {
-                        letGo(holder);
-                        assertNeverSent("gone" + i);
-                        assertEquals(-1, dialled.getInputStream().read(), "sent on for who had left");
+                    try (Socket established = endpoint.accept()) {
+                        unblockLoop(blocker);
+                        assertNeverSent("gone" + round);
+                        assertEquals(
+                                -1, established.getInputStream().read(), "sent for a client that has disconnected");
                     }
                 }
             }
         }
     }
 
-    private void awaitAtUpstream(String id) throws InterruptedException {
-        while (!rig.endpointServers.get(0).next().header("X-Txn").equals(id)) {
-            // the others of rounds before
-        }
+    private void awaitAtFirstEndpoint(String id) throws InterruptedException {
+        StubServer.Message request;
+        do {
+            request = sidecar.endpointServers.get(0).next();
+        } while (!request.header("X-Txn").equals(id));
+    }
+
+    /**
+     * The load balancer sends requests {@code warm} to the second endpoint, which leaves an idle connection there, and
+     * fails requests {@code rest} with a timer that ends once that connection may be used again.
+     */
+    private void routeWarmUpToSecondEndpoint() {
+        SidecarFixture.RequestHandler others = sidecar.onRequest;
+        sidecar.onRequest = (now, request, out) -> {
+            if (request.id().startsWith("warm")) {
+                out.sendAttempt(request.id(), "u1", 0);
+            } else if (request.id().startsWith("rest")) {
+                out.startTimer("rested", 2 * UpstreamConnectionPool.REST_US);
+                out.fail(request.id());
+            } else {
+                others.handle(now, request, out);
+            }
+        };
     }
 
     @Test
-    void noFurtherAttemptBeginsWhereAFailureAndItsClientsEndComeTogether() throws Exception {
+    void noRetryStartsWhereAFailureIsReadTogetherWithTheDisconnection() throws Exception {
         Semaphore fail = new Semaphore(0);
         Semaphore failed = new Semaphore(0);
-        rig.endpointServers.get(0).script = (m, line) -> {
-            if (m.header("X-Txn").startsWith("gone")) {
+        sidecar.endpointServers.get(0).script = (request, connection) -> {
+            if (request.header("X-Txn").startsWith("gone")) {
                 fail.acquireUninterruptibly();
-                line.answer("500 No", "", "");
+                connection.answer("500 No", "", "");
                 failed.release();
             } else {
-                line.answer("200 OK", "", "");
-            }
-        };
-        rig.upstream((m, line) -> line.answer("200 OK", "", ""));
-        SidecarFixture.RequestHandler usual = rig.onRequest;
-        rig.onRequest = (now, r, out) -> {
-            if (r.id().startsWith("warm")) {
-                out.sendAttempt(r.id(), "u1", 0);
-            } else if (r.id().startsWith("rest")) {
-                out.startTimer("rested", 2 * UpstreamConnectionPool.REST_US);
-                out.fail(r.id());
-            } else {
-                usual.handle(now, r, out);
+                connection.answer("200 OK", "", "");
             }
         };
-        rig.onOutcome = (id, outcome, done, out) -> {
+        StubServer secondEndpoint = sidecar.upstream((request, connection) -> connection.answer("200 OK", "", ""));
+        routeWarmUpToSecondEndpoint();
+        sidecar.onOutcome = (id, outcome, done, out) -> {
             if (!done) {
                 out.sendAttempt(id, "u1", 0);
             }
         };
-        rig.start();
-        try (StubServer.Client holder = rig.client()) {
-            for (int i = 0; i < ROUNDS; i++) {
-                // The further attempt finds a connection that it could be written to at once.
-                assertEquals(
-                        200, holder.send(SidecarFixture.get("warm" + i, 20_000)).status());
-                assertEquals(
-                        502, holder.send(SidecarFixture.get("rest" + i, 20_000)).status());
-                rig.await("timer rested");
-                StubServer.Client client = rig.client();
-                client.send(SidecarFixture.get("gone" + i, 20_000));
-                awaitAtUpstream("gone" + i);
-                hold(holder, i);
+        sidecar.start();
+        try (StubServer.Client blocker = sidecar.client()) {
+            for (int round = 0; round < ROUNDS; round++) {
+                // The retry would find a connection that it could be written to at once.
+                assertStatus(200, blocker, SidecarFixture.get("warm" + round, 20_000));
+                assertStatus(502, blocker, SidecarFixture.get("rest" + round, 20_000));
+                sidecar.await("timer rested");
+                StubServer.Client client = sidecar.client();
+                client.send(SidecarFixture.get("gone" + round, 20_000));
+                awaitAtFirstEndpoint("gone" + round);
+                blockLoop(blocker, round);
                 fail.release();
                 failed.acquire();
-                leave(client, i % 2 > 0);
-                letGo(holder);
-                rig.await("expired gone" + i);
+                disconnect(client, Disconnection.ofRound(round));
+                unblockLoop(blocker);
+                sidecar.await("expired gone" + round);
             }
         }
-        for (StubServer.Message m; (m = rig.endpointServers.get(1).messages.poll()) != null; ) {
-            assertTrue(m.header("X-Txn").startsWith("warm"), "sent on for who had left");
+        for (StubServer.Message request : secondEndpoint.messages) {
+            assertTrue(request.header("X-Txn").startsWith("warm"), "sent for a client that has disconnected");
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.concurrent.CountDownLatch;
 import loadbalancer.proxy.configuration.ConfigurationException;
 import loadbalancer.proxy.configuration.SidecarConfigurationReader;
 import loadbalancer.proxy.testing.SidecarFixture;
@@ -14,32 +14,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** What the sidecar makes of requests and configurations that it cannot use. */
 @Timeout(60)
 class MalformedInputTest {
+    private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
+        assertEquals(expected, client.send(request).status());
+    }
+
     @Test
-    void whatIsNoRequestOfTheProtocolIsSaidSo() throws Exception {
-        String good = SidecarFixture.get("a1", 9000);
+    void invalidRequestsGetTheStatusThatSaysWhy() throws Exception {
+        String valid = SidecarFixture.get("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
         cases.put("GET /api HTTP/1.1\r\n: : :\r\nbad header\r\n\r\n", 400);
-        cases.put(good.replace("X-Txn: a1\r\n", ""), 400);
-        cases.put(good.replace("X-Lane: c", "X-Lane: nobody"), 400);
-        cases.put(good.replace("X-Lane: c\r\n", ""), 400);
-        for (String time : new String[] {"", "soon", "-5", "0", "1.5", "99999999999999999999"}) {
-            cases.put(good.replace("X-Remaining-Ms: 9000", "X-Remaining-Ms: " + time), 400);
+        cases.put(valid.replace("X-Txn: a1\r\n", ""), 400);
+        cases.put(valid.replace("X-Lane: c", "X-Lane: nobody"), 400);
+        cases.put(valid.replace("X-Lane: c\r\n", ""), 400);
+        for (String remaining : new String[] {"", "soon", "-5", "0", "1.5", "99999999999999999999"}) {
+            cases.put(valid.replace("X-Remaining-Ms: 9000", "X-Remaining-Ms: " + remaining), 400);
         }
-        cases.put(good.replace("GET", "DELETE"), 400);
-        cases.put(good.replace("GET", "POST"), 400);
-        cases.put(good.replace("X-Lane: c", "X-Lane: k"), 400);
-        cases.put(good.replace("GET", "POST").replace("X-Lane: c", "X-Lane: k"), 400);
-        cases.put(good.replace("X-Txn: a1", "X-Txn: a1\r\nX-Txn: a2"), 400);
-        cases.put(good.replace("X-Txn: a1", "X-Txn: a 1"), 400);
-        cases.put(good.replace("X-Txn: a1", "X-Txn: " + "a".repeat(200)), 400);
-        cases.put(good.replace("X-Lane: c", "X-Lane: c\r\nX-Lane: k"), 400);
-        cases.put(good.replace("X-Txn: a1", "X-Txn: a1\r\nContent-Length: 1") + "x", 400);
-        cases.put(good.replace("/api/slots", "/api/\u00e4"), 400);
-        cases.put(good.replace("HTTP/1.1", "HTTP/7.3"), 400);
-        cases.put(good.replace("X-Txn: a1", "a line without a colon"), 400);
+        cases.put(valid.replace("GET", "DELETE"), 400);
+        cases.put(valid.replace("GET", "POST"), 400);
+        cases.put(valid.replace("X-Lane: c", "X-Lane: k"), 400);
+        cases.put(valid.replace("GET", "POST").replace("X-Lane: c", "X-Lane: k"), 400);
+        cases.put(valid.replace("X-Txn: a1", "X-Txn: a1\r\nX-Txn: a2"), 400);
+        cases.put(valid.replace("X-Txn: a1", "X-Txn: a 1"), 400);
+        cases.put(valid.replace("X-Txn: a1", "X-Txn: " + "a".repeat(200)), 400);
+        cases.put(valid.replace("X-Lane: c", "X-Lane: c\r\nX-Lane: k"), 400);
+        cases.put(valid.replace("X-Txn: a1", "X-Txn: a1\r\nContent-Length: 1") + "x", 400);
+        cases.put(valid.replace("/api/slots", "/api/\u00e4"), 400);
+        cases.put(valid.replace("HTTP/1.1", "HTTP/7.3"), 400);
+        cases.put(valid.replace("X-Txn: a1", "a line without a colon"), 400);
         cases.put("GET /api HTTP/1.1\r\nX-Endless: " + "x".repeat(20_000), 400);
         cases.put("GET /elsewhere HTTP/1.1\r\nHost: a\r\n\r\n", 404);
         cases.put("GET /apiary HTTP/1.1\r\nHost: a\r\n\r\n", 404);
@@ -54,28 +59,28 @@
                         + "Idempotency-Key: k1\r\nContent-Length: 65536\r\n\r\n"
                         + "x".repeat(65_536),
                 200);
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            rig.await("list DELTA");
-            for (Map.Entry<String, Integer> c : cases.entrySet()) {
-                try (StubServer.Client client = rig.client()) {
-                    client.send(c.getKey());
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            sidecar.start();
+            sidecar.await("list DELTA");
+            for (Map.Entry<String, Integer> entry : cases.entrySet()) {
+                try (StubServer.Client client = sidecar.client()) {
+                    client.send(entry.getKey());
                     assertEquals(
-                            c.getValue(),
+                            entry.getValue(),
                             client.status(),
-                            c.getKey().lines().limit(9).toList().toString());
+                            entry.getKey().lines().limit(9).toList().toString());
                 }
             }
         }
     }
 
     /**
-     * What stands behind a request whose end two readers may see in two places must reach no upstream, and the error
-     * comes without waiting for a body that was announced as huge.
+     * Where two readers may disagree on the end of a request, nothing behind it is forwarded. The error response does
+     * not wait for a body of an excessive length.
      */
     @Test
-    void nothingHiddenInABodyPassesAndTheConnectionEnds() throws Exception {
+    void aRequestHiddenInABodyIsNotForwardedAndTheConnectionCloses() throws Exception {
         String hidden = SidecarFixture.get("hidden", 9000);
         String head = "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k1\r\n";
         String chunked = "Transfer-Encoding: chunked\r\n";
@@ -90,39 +95,35 @@
         cases.put(head + "Content-Length: 60000000\r\n\r\n" + hidden, 413);
         cases.put(head + chunked + "\r\nzz\r\n" + hidden, 400);
         cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + hidden, 400);
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer up = rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            for (Map.Entry<String, Integer> c : cases.entrySet()) {
-                try (StubServer.Client client = rig.client()) {
-                    client.send(c.getKey());
-                    assertEquals(c.getValue(), client.status(), c.getKey());
-                    assertTrue(client.ended(), c.getKey());
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            StubServer endpoint = sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            sidecar.start();
+            for (Map.Entry<String, Integer> entry : cases.entrySet()) {
+                try (StubServer.Client client = sidecar.client()) {
+                    client.send(entry.getKey());
+                    assertEquals(entry.getValue(), client.status(), entry.getKey());
+                    assertTrue(client.ended(), entry.getKey());
                 }
             }
-            assertTrue(up.messages.isEmpty(), "something hidden was passed on");
+            assertTrue(endpoint.messages.isEmpty(), "a hidden request was forwarded");
         }
     }
 
-    /** A word on the request being read must not overtake the answer to the one before it. */
+    /** The error response to an unreadable request must not overtake the response to the one before it. */
     @Test
-    void anErrorWaitsForTheAnswerAheadOfIt() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {
-                try {
-                    answer.await();
-                } catch (InterruptedException e) {
-                    throw new java.io.InterruptedIOException();
-                }
-                line.answer("200 OK", "", "first");
+    void anErrorResponseWaitsForThePendingResponse() throws Exception {
+        ResponseGate gate = new ResponseGate();
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> {
+                gate.await();
+                connection.answer("200 OK", "", "first");
             });
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
                 client.send(SidecarFixture.get("a1", 20_000)
                         + "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n");
-                rig.await("request a1");
-                answer.countDown();
+                sidecar.await("request a1");
+                gate.open();
                 assertEquals("first", client.answer().body());
                 assertEquals(413, client.status());
                 assertTrue(client.ended());
@@ -130,107 +131,104 @@
         }
     }
 
-    /** Silence and halves hold descriptors that others need; each gets its end within 3 s of connecting. */
+    /** Silent clients and incomplete requests hold descriptors; each is given up within 3 s of connecting. */
     @Test
-    void whoSaysNothingOrOnlyHalfIsGivenUp() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            try (StubServer.Client silent = rig.client();
-                    StubServer.Client half = rig.client();
-                    StubServer.Client body = rig.client();
-                    StubServer.Client once = rig.client()) {
+    void silentClientsAndIncompleteRequestsAreGivenUp() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            sidecar.start();
+            try (StubServer.Client silent = sidecar.client();
+                    StubServer.Client half = sidecar.client();
+                    StubServer.Client body = sidecar.client();
+                    StubServer.Client once = sidecar.client()) {
                 half.send("GET /api HTTP/1.1\r\nX-T");
                 body.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-                once.send(SidecarFixture.get("a1", 20_000));
-                assertEquals(200, once.status());
+                assertStatus(200, once, SidecarFixture.get("a1", 20_000));
                 assertTrue(silent.ended());
                 assertEquals(408, half.status());
                 assertEquals(408, body.status());
                 assertTrue(half.ended() && body.ended());
-                assertTrue(once.ended(), "a connection is kept for good for a client that asked once");
+                assertTrue(once.ended(), "a connection is kept for good after a single request");
             }
         }
     }
 
-    /** A time that no client waits would hold the request, and all that is kept for it, for days. */
+    /** A longer time in the header would keep the request, and what it holds, for days. */
     @Test
-    void nobodyWaitsLongerThanTheClassAllows() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                client.send(SidecarFixture.get("a1", 999_999_999));
-                assertEquals(200, client.status());
-                assertTrue(Long.parseLong(rig.await("request").split(" ")[2]) <= 60_000_000);
+    void noRequestIsKeptLongerThanItsClassAllows() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                assertStatus(200, client, SidecarFixture.get("a1", 999_999_999));
+                assertTrue(Long.parseLong(sidecar.await("request").split(" ")[2]) <= 60_000_000);
             }
         }
     }
 
-    /** The id of a request that is held is another's: its answer must not go to both. */
+    /** A response must not go to two clients. */
     @Test
-    void theIdOfAnOpenRequestIsTaken() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            try (StubServer.Client one = rig.client();
-                    StubServer.Client other = rig.client()) {
+    void theIdOfAnOpenRequestIsRejected() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> {});
+            sidecar.start();
+            try (StubServer.Client one = sidecar.client();
+                    StubServer.Client other = sidecar.client()) {
                 one.send(SidecarFixture.get("a1", 20_000));
-                rig.await("request a1");
-                other.send(SidecarFixture.get("a1", 20_000));
-                assertEquals(400, other.status());
+                sidecar.await("request a1");
+                assertStatus(400, other, SidecarFixture.get("a1", 20_000));
             }
         }
     }
 
-    /** Not ready while there is nobody to send to: the application would begin to lose requests at once. */
+    /** Without an endpoint the application's requests would fail at once. */
     @Test
-    void readyOnlyOnceThereIsAnUpstream() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void readyOnlyOnceThereIsAnEndpoint() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.status());
             }
         }
     }
 
-    private static void broken(String json, String... named) {
-        ConfigurationException e = assertThrows(ConfigurationException.class, () -> SidecarFixture.config(json));
-        for (String name : named) {
-            assertTrue(e.getMessage().contains(name), e.getMessage());
+    private static void assertConfigurationError(String json, String... expectedWords) {
+        ConfigurationException error = assertThrows(ConfigurationException.class, () -> SidecarFixture.config(json));
+        for (String word : expectedWords) {
+            assertTrue(error.getMessage().contains(word), error.getMessage());
         }
-        assertEquals(1, e.getMessage().lines().count());
+        assertEquals(1, error.getMessage().lines().count());
     }
 
     @Test
-    void aBrokenConfigurationIsOneLineThatNamesTheField() throws Exception {
-        String good = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\","
+    void anInvalidConfigurationIsReportedInOneLineThatNamesTheField() throws Exception {
+        String valid = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\","
                 + "\"seed\":\"8c1f30d27a5be964\","
                 + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
                 + SidecarFixture.list(1, true, SidecarFixture.entry("u", "127.0.0.1:8", "Ready", 7))
                 + ",\"settings\":" + SidecarFixture.SETTINGS + ",\"new\":{\"x\":[1]}}";
         assertEquals(
                 7000,
-                SidecarFixture.config(good)
+                SidecarFixture.config(valid)
                         .initialEndpoints()
                         .entries()
                         .get(0)
                         .endpoint()
                         .startedMicros());
-        assertEquals(0x8c1f30d27a5be964L, SidecarFixture.config(good).seed());
-        broken("", "JSON");
-        broken("[]", "JSON");
-        broken("{\n\n", "JSON");
-        broken(good.replace("\"listen\"", "\"x\""), "'listen' is missing");
-        broken(good.replace("127.0.0.1:0", "localhost:0"), "listen");
-        broken(good.replace("127.0.0.1:9", "127.0.0.1:99999"), "discovery");
-        broken(good.replace("[\"127.0.0.1:7\"]", "7"), "peers");
-        broken(good.replace("127.0.0.1:7", "7"), "peers");
-        broken(good.replace("8c1f30d27a5be964", "seed!"), "seed");
-        broken(good.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
-        broken(good.replace("\"balancers\":2,", ""), "settings", "balancers");
-        broken(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
+        assertEquals(0x8c1f30d27a5be964L, SidecarFixture.config(valid).seed());
+        assertConfigurationError("", "JSON");
+        assertConfigurationError("[]", "JSON");
+        assertConfigurationError("{\n\n", "JSON");
+        assertConfigurationError(valid.replace("\"listen\"", "\"x\""), "'listen' is missing");
+        assertConfigurationError(valid.replace("127.0.0.1:0", "localhost:0"), "listen");
+        assertConfigurationError(valid.replace("127.0.0.1:9", "127.0.0.1:99999"), "discovery");
+        assertConfigurationError(valid.replace("[\"127.0.0.1:7\"]", "7"), "peers");
+        assertConfigurationError(valid.replace("127.0.0.1:7", "7"), "peers");
+        assertConfigurationError(valid.replace("8c1f30d27a5be964", "seed!"), "seed");
+        assertConfigurationError(valid.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
+        assertConfigurationError(valid.replace("\"balancers\":2,", ""), "settings", "balancers");
+        assertConfigurationError(valid.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
         assertThrows(ConfigurationException.class, () -> SidecarConfigurationReader.read(Map.of()));
         assertThrows(
                 ConfigurationException.class,
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -3,192 +3,180 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.concurrent.CountDownLatch;
+import java.io.IOException;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
 import loadbalancer.decision.AttemptOutcome;
 import loadbalancer.proxy.testing.SidecarFixture;
 import loadbalancer.proxy.testing.StubServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Every request taken gets one final answer, whatever the module does. */
+/** Every accepted request gets one final response, whatever the load balancer and the client do. */
 @Timeout(60)
 class RequestLifecycleTest {
+    private static final String UNKNOWN_PATH = "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n";
+
+    private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
+        assertEquals(expected, client.send(request).status());
+    }
+
     @Test
-    void aRefusalIsSaidAtOnceWithTheTimeToComeBack() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.onRequest = (now, r, out) -> {
-                out.reject(r.id(), 165_000);
-                out.fail(r.id());
-                out.reject(r.id(), 0);
+    void aRejectionIsWrittenAtOnceWithRetryAfter() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.onRequest = (now, request, out) -> {
+                out.reject(request.id(), 165_000);
+                out.fail(request.id());
+                out.reject(request.id(), 0);
             };
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                StubServer.Message answer = client.answer();
-                assertTrue(answer.head().startsWith("HTTP/1.1 503 "), answer.head());
-                assertEquals("0.165", answer.header("Retry-After"));
-                // The next answer belongs to the next request: nothing more came about the first.
-                client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(404, client.status());
+                StubServer.Message response = client.answer();
+                assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
+                assertEquals("0.165", response.header("Retry-After"));
+                // The next response belongs to the next request: the first has one response only.
+                assertStatus(404, client, UNKNOWN_PATH);
             }
         }
     }
 
-    /** The module may fail to answer; the client's time must not run out over it. */
+    /** The client's time must not run out where the load balancer decides nothing. */
     @Test
-    void aRequestThatTheModuleHoldsIsAnsweredBeforeItsTimeIsUp() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.onRequest = (now, r, out) -> {};
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                client.send(SidecarFixture.get("a1", 300));
-                assertEquals(502, client.status());
-                assertEquals("expired a1", rig.await("expired"));
+    void aRequestWithoutADecisionFailsBeforeItsDeadline() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.onRequest = (now, request, out) -> {};
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                assertStatus(502, client, SidecarFixture.get("a1", 300));
+                assertEquals("expired a1", sidecar.await("expired"));
             }
         }
     }
 
     @Test
-    void attemptsAreGivenUpAtTheDeadlineAndTheModuleAnswers() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {});
-            rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", now + 60_000_000);
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                client.send(SidecarFixture.get("a1", 300));
-                assertEquals(502, client.status());
-                assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
+    void attemptsTimeOutAtTheDeadlineAndTheLoadBalancerResponds() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> {});
+            sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 60_000_000);
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                assertStatus(502, client, SidecarFixture.get("a1", 300));
+                assertEquals("outcome a1 0 TIMEOUT false -", sidecar.await("outcome"));
             }
         }
     }
 
-    /** A fault in the module ends neither the program nor the request that met it. */
+    /** An exception of the load balancer fails the request that it handled and nothing else. */
     @Test
-    void anExceptionInTheModuleAnswersWhatItMet() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("500 No", "", ""));
-            rig.onRequest = (now, r, out) -> {
-                throw new IllegalStateException("as the test wants");
+    void anExceptionOfTheLoadBalancerFailsItsRequestAlone() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> connection.answer("500 No", "", ""));
+            sidecar.onRequest = (now, request, out) -> {
+                throw new IllegalStateException("thrown by the test");
             };
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals(502, client.status());
-                rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
-                rig.onOutcome = (id, outcome, done, out) -> {
-                    throw new IllegalStateException("as the test wants");
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                assertStatus(502, client, SidecarFixture.get("a1", 20_000));
+                sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
+                sidecar.onOutcome = (id, outcome, done, out) -> {
+                    throw new IllegalStateException("thrown by the test");
                 };
-                client.send(SidecarFixture.get("a2", 20_000));
-                assertEquals(502, client.status());
-                rig.onRequest = (now, r, out) -> out.startTimer("break", 1);
-                client.send(SidecarFixture.get("a3", 20_000));
-                assertEquals(502, client.status());
+                assertStatus(502, client, SidecarFixture.get("a2", 20_000));
+                sidecar.onRequest = (now, request, out) -> out.startTimer("break", 1);
+                assertStatus(502, client, SidecarFixture.get("a3", 20_000));
             }
         }
     }
 
     @Test
-    void aClientThatLeavesEndsItsRequestAndNoOther() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void aDisconnectedClientEndsItsRequestAndNoOther() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> {});
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                rig.await("request");
+                sidecar.await("request");
             }
-            assertEquals("expired a1", rig.await("expired"));
-            rig.onRequest = (now, r, out) -> out.fail(r.id());
-            try (StubServer.Client client = rig.client()) {
-                client.send(SidecarFixture.get("a2", 20_000));
-                assertEquals(502, client.status());
+            assertEquals("expired a1", sidecar.await("expired"));
+            sidecar.onRequest = (now, request, out) -> out.fail(request.id());
+            try (StubServer.Client client = sidecar.client()) {
+                assertStatus(502, client, SidecarFixture.get("a2", 20_000));
             }
         }
     }
 
-    /** Who ends its sending has gone away, as who closes does: nothing tells the two apart in time. */
+    /** A half-closed connection counts as closed: the two cannot be told apart in time. */
     @Test
-    void aClientThatEndsItsSendingHasLeft() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {});
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void aClientThatShutsDownItsOutputHasDisconnected() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> {});
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                rig.await("request");
+                sidecar.await("request");
                 client.socket.shutdownOutput();
-                assertEquals("expired a1", rig.await("expired"));
+                assertEquals("expired a1", sidecar.await("expired"));
                 assertTrue(client.ended());
             }
         }
     }
 
-    /** A second copy's answer, or one after the final answer, must not reach the client. */
+    /** The response to a hedged request, or one after the final response, must not reach the client. */
     @Test
-    void theFirstAnswerCountsAndALaterOneIsOnlyTold() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            Object[] held = new Object[1];
-            rig.upstream((m, line) -> {
-                synchronized (held) {
-                    held[0] = line;
-                }
-            });
-            rig.upstream((m, line) -> line.answer("200 OK", "", "second"));
-            rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
-            rig.onOutcome = (id, outcome, done, out) -> {};
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void theFirstResponseIsFinalAndALaterOneIsOnlyReported() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            BlockingQueue<StubServer.Connection> unanswered = new LinkedBlockingQueue<>();
+            sidecar.upstream((request, connection) -> unanswered.add(connection));
+            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "second"));
+            sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
+            sidecar.onOutcome = (id, outcome, done, out) -> {};
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                rig.endpointServers.get(0).next();
-                rig.onRequest = (now, r, out) -> {
+                sidecar.endpointServers.get(0).next();
+                sidecar.onRequest = (now, request, out) -> {
                     out.sendAttempt("a1", "u1", 0);
-                    out.fail(r.id());
+                    out.fail(request.id());
                 };
-                try (StubServer.Client other = rig.client()) {
-                    other.send(SidecarFixture.get("a2", 20_000));
-                    assertEquals(502, other.status());
+                try (StubServer.Client other = sidecar.client()) {
+                    assertStatus(502, other, SidecarFixture.get("a2", 20_000));
                 }
                 assertEquals("second", client.answer().body());
-                assertEquals("outcome a1 1 OK true -", rig.await("outcome"));
-                synchronized (held) {
-                    ((StubServer.Connection) held[0]).answer("200 OK", "", "first");
-                }
-                assertEquals("outcome a1 0 OK true -", rig.await("outcome"));
-                client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(404, client.status());
+                assertEquals("outcome a1 1 OK true -", sidecar.await("outcome"));
+                unanswered.take().answer("200 OK", "", "first");
+                assertEquals("outcome a1 0 OK true -", sidecar.await("outcome"));
+                assertStatus(404, client, UNKNOWN_PATH);
             }
         }
     }
 
     @Test
-    void attemptsBeyondWhatIsAllowedAreNotSent() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer up = rig.upstream((m, line) -> line.answer("500 No", "", ""));
-            rig.onOutcome = (id, outcome, done, out) -> {
+    void attemptsBeyondTheMaximumAreNotSent() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            StubServer endpoint = sidecar.upstream((request, connection) -> connection.answer("500 No", "", ""));
+            sidecar.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == AttemptOutcome.NOT_SENT) {
                     out.fail(id);
                 } else {
                     out.sendAttempt(id, "u0", 0);
                 }
             };
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals(502, client.status());
-                assertEquals(4, up.messages.size());
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                assertStatus(502, client, SidecarFixture.get("a1", 20_000));
+                assertEquals(4, endpoint.messages.size());
             }
         }
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInTheirTurn() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                StringBuilder all = new StringBuilder();
-                for (int i = 0; i < 40; i++) {
-                    all.append(SidecarFixture.get("p" + i, 20_000));
-                }
-                client.send(all.toString());
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", request.header("X-Txn")));
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                client.send(pipelined(40));
                 for (int i = 0; i < 40; i++) {
                     assertEquals("p" + i, client.answer().body());
                 }
@@ -196,101 +184,100 @@
         }
     }
 
-    private static String ahead(int count) {
-        StringBuilder all = new StringBuilder();
+    private static String pipelined(int count) {
+        StringBuilder requests = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            all.append(SidecarFixture.get("p" + i, 20_000));
+            requests.append(SidecarFixture.get("p" + i, 20_000));
         }
-        return all.toString();
+        return requests.toString();
     }
 
-    /** However much stands before it, the end of the connection is seen, and what was sent ahead goes nowhere. */
+    /** The end of the connection is noticed behind any number of pipelined requests, and none of them is dispatched. */
     @Test
-    void whoSendsMuchAtOnceAndGoesIsSeenToLeave() throws Exception {
+    void aDisconnectBehindPipelinedRequestsIsNoticed() throws Exception {
         for (int count : new int[] {2, 20, 2_000}) {
-            try (SidecarFixture rig = new SidecarFixture()) {
-                rig.upstream((m, line) -> {});
-                rig.start();
-                rig.await("list DELTA");
-                try (StubServer.Client client = rig.client()) {
-                    client.send(ahead(count));
+            try (SidecarFixture sidecar = new SidecarFixture()) {
+                sidecar.upstream((request, connection) -> {});
+                sidecar.start();
+                sidecar.await("list DELTA");
+                try (StubServer.Client client = sidecar.client()) {
+                    client.send(pipelined(count));
                 }
-                assertEquals("expired p0", rig.await("expired"));
-                try (StubServer.Client other = rig.client()) {
+                assertEquals("expired p0", sidecar.await("expired"));
+                try (StubServer.Client other = sidecar.client()) {
                     other.send(SidecarFixture.get("other", 20_000));
-                    // Nothing else was taken in between, and the other's request comes after all that was sent.
-                    assertTrue(rig.events.take().startsWith("request other "));
+                    // No pipelined request was dispatched in between.
+                    assertTrue(sidecar.events.take().startsWith("request other "));
                 }
             }
         }
     }
 
-    /** What one connection may hold is bounded: who sends more ahead gets the answers so far, a refusal and an end. */
+    /** A client that pipelines too much gets the responses so far, a rejection and the end of the connection. */
     @Test
-    void whatIsSentAheadIsBounded() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {
-                try {
-                    answer.await();
-                } catch (InterruptedException e) {
-                    throw new java.io.InterruptedIOException();
-                }
-                line.answer("200 OK", "", m.header("X-Txn"));
+    void pipeliningIsBounded() throws Exception {
+        ResponseGate gate = new ResponseGate();
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.upstream((request, connection) -> {
+                gate.await();
+                connection.answer("200 OK", "", request.header("X-Txn"));
             });
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                client.send(ahead(2_000));
-                rig.await("request p0");
-                answer.countDown();
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                client.send(pipelined(2_000));
+                sidecar.await("request p0");
+                gate.open();
                 int served = 0;
-                StubServer.Message m;
-                while ((m = client.answer()).head().startsWith("HTTP/1.1 200 ")) {
-                    assertEquals("p" + served++, m.body());
+                StubServer.Message response;
+                while ((response = client.answer()).head().startsWith("HTTP/1.1 200 ")) {
+                    assertEquals("p" + served++, response.body());
                 }
-                assertTrue(m.head().startsWith("HTTP/1.1 503 "), m.head());
+                assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
                 assertTrue(served > 40 && served < 2_000, served + " were served");
                 assertTrue(client.ended());
             }
         }
     }
 
-    /** A busy sidecar needs a connection for each request, and one for each idle upstream that it will use again. */
+    /** With as many clients as may have requests there are descriptors for as many upstream connections. */
     @Test
-    void whatClientsLeaveOfTheDescriptorsIsForUpstreams() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer silent = rig.upstream((m, line) -> {});
-            // 48 for the program itself, and as many clients as may have requests: a third.
-            rig.descriptorLimit = 192;
-            rig.start();
+    void descriptorsSufficeForAnUpstreamConnectionPerClient() throws Exception {
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            StubServer silent = sidecar.upstream((request, connection) -> {});
+            // 48 are reserved for the process; a third of all is for clients with requests.
+            sidecar.descriptorLimit = 192;
+            sidecar.start();
             StubServer.Client[] clients = new StubServer.Client[192 / 3];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = rig.client();
+                clients[i] = sidecar.client();
                 clients[i].send(SidecarFixture.get("c" + i, 30_000));
             }
             for (int i = 0; i < clients.length; i++) {
                 silent.next();
             }
-            for (StubServer.Client c : clients) {
-                c.close();
+            for (StubServer.Client client : clients) {
+                client.close();
             }
         }
     }
 
-    /** PROTOCOL, Figures: time for a request counts from its last byte, however slowly its client wrote it. */
+    /** As the protocol has it, however slowly the client writes the request. */
     @Test
     void theTimeOfARequestCountsFromItsLastByte() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.onRequest = (now, r, out) -> out.fail(r.id());
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
-                String text = SidecarFixture.get("slow", 200);
-                client.send(text.substring(0, text.length() / 2));
+        try (SidecarFixture sidecar = new SidecarFixture()) {
+            sidecar.onRequest = (now, request, out) -> out.fail(request.id());
+            sidecar.start();
+            try (StubServer.Client client = sidecar.client()) {
+                String request = SidecarFixture.get("slow", 200);
+                client.send(request.substring(0, request.length() / 2));
                 Thread.sleep(250);
-                client.send(text.substring(text.length() / 2));
+                client.send(request.substring(request.length() / 2));
                 assertEquals(502, client.status());
-                long leftUs = Long.parseLong(rig.await("request slow ").split(" ")[2]);
-                assertTrue(leftUs > 100_000, "its client still waits for 200 ms, told were " + leftUs + " us");
+                long remainingMicros =
+                        Long.parseLong(sidecar.await("request slow ").split(" ")[2]);
+                assertTrue(
+                        remainingMicros > 100_000,
+                        "the client waits for 200 ms, dispatched with " + remainingMicros + " us");
             }
         }
     }
