--- a/src/main/java/loadbalancer/proxy/client/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientListener.java
@@ -76,7 +76,7 @@
      * How long no connection has come, in microseconds. While accepting is paused it is not known whether any comes: 0,
      * and counted from then on.
      */
-    long quietMicros(long nowMicros) {
+    long idleMicros(long nowMicros) {
         if (!backlog.isAccepting()) {
             lastAcceptedMicros = nowMicros;
         }
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -29,7 +29,9 @@
     /** Called with each request during the warm-up; null while there is none. */
     private Runnable onRequestDuringWarmUp;
 
-    /** {@code canServe} is asked for the readiness: whether there are endpoints to forward requests to. */
+    /**
+     * {@code canServe} says whether there are endpoints to forward requests to; without any, the server is not ready.
+     */
     public ClientServer(
             ReadTrackingEventLoop reads,
             RequestDispatcher dispatcher,
--- a/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
@@ -7,6 +7,6 @@
  *
  * @param maxConnections beyond it, connections wait in the listener's backlog
  * @param maxIdleConnections most connections that are kept open between two requests
- * @param descriptorAvailable whether there is a file descriptor for one more connection; asked on the event loop
+ * @param descriptorAvailable whether there is a file descriptor for one more connection; called on the event loop
  */
 public record ConnectionLimits(int maxConnections, int maxIdleConnections, BooleanSupplier descriptorAvailable) {}
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -7,14 +7,14 @@
 
 /**
  * The end of the client side in good order: first everything is served as before, because clients still connect and
- * send; then connections and the listener close as they fall quiet. Confined to the event loop.
+ * send; then connections and the listener close as they become idle. Confined to the event loop.
  */
 final class GracefulShutdown {
     private static final long MICROS_PER_MILLI = 1_000;
     /** Clients go on connecting for up to 400 ms after the request to shut down; with a reserve. */
     private static final long SERVING_MICROS = 600_000;
     /** A connection that was active, or a listener that accepted, this recently may have a request on its way. */
-    private static final long QUIET_MICROS = 150_000;
+    private static final long MIN_IDLE_MICROS = 150_000;
 
     private static final long CHECK_INTERVAL_MILLIS = 20;
     /** Clients that still connect so long after the serving phase do not know of the shutdown. */
@@ -31,7 +31,7 @@
         NOT_REQUESTED,
         /** Connections are accepted and requests served; every response closes its connection. */
         SERVING,
-        /** Quiet connections close; the listener closes once nobody connects any more. */
+        /** Idle connections close; the listener closes once nobody connects any more. */
         DRAINING,
         COMPLETED
     }
@@ -94,21 +94,21 @@
             return;
         }
         phase = Phase.DRAINING;
-        closeListenerIfQuiet(nowMicros);
-        connections.closeInactive(nowMicros - QUIET_MICROS, nowMicros - requestClasses.longestDeadlineMicros());
+        closeListenerIfIdle(nowMicros);
+        connections.closeInactive(nowMicros - MIN_IDLE_MICROS, nowMicros - requestClasses.longestDeadlineMicros());
         if (connections.isEmpty() && !listener.isOpen()) {
             phase = Phase.COMPLETED;
         }
     }
 
     /** A close resets the connections in the backlog: it has to be empty, which shows only while accepting. */
-    private void closeListenerIfQuiet(long nowMicros) {
-        long quietMicros = listener.quietMicros(nowMicros);
+    private void closeListenerIfIdle(long nowMicros) {
+        long idleMicros = listener.idleMicros(nowMicros);
         boolean unaware = nowMicros >= servingUntilMicros + MAX_LISTENING_MICROS;
-        if (listener.isOpen() && listener.isAccepting() && (quietMicros >= QUIET_MICROS || unaware)) {
+        if (listener.isOpen() && listener.isAccepting() && (idleMicros >= MIN_IDLE_MICROS || unaware)) {
             listener.close();
-            SidecarLog.info("listener_closed client_connections=" + connections.size() + " quiet_millis="
-                    + quietMicros / MICROS_PER_MILLI);
+            SidecarLog.info("listener_closed client_connections=" + connections.size() + " idle_millis="
+                    + idleMicros / MICROS_PER_MILLI);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -22,7 +22,7 @@
         RequestPayload payload) {
     static final long NO_ROUTING_KEY = -1;
 
-    /** What the load balancer is given: {@code untilDeadlineMicros} is the time left to respond, 1 at least. */
+    /** What the load balancer decides on: {@code untilDeadlineMicros} is the time in which to respond, 1 at least. */
     Request toRequest(long untilDeadlineMicros) {
         return new Request(
                 id,
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -15,7 +15,7 @@
     private static final long MIN_RESPONSE_MARGIN_MICROS = 15_000;
 
     private static final int MAX_RESPONSE_MARGIN_DIVISOR = 4;
-    /** A wait in the backlog is an upper bound: at most half of the client's time is taken for spent there. */
+    /** A wait in the backlog is an upper bound: at most half of the remaining time is deducted for it. */
     private static final int MAX_BACKLOG_WAIT_DIVISOR = 2;
 
     private final ReadTrackingEventLoop reads;
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
@@ -0,0 +1,66 @@
+package loadbalancer.proxy.client;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
+import org.junit.jupiter.api.Test;
+
+/** When a client's connection is given up, and how much of its wait in the backlog counts for a request. */
+class ConnectionActivityTest {
+    private static final long ACCEPTED_MICROS = 5_000_000;
+    private static final long BACKLOG_WAIT_MICROS = 700_000;
+
+    private final ConnectionActivity activity = new ConnectionActivity(ACCEPTED_MICROS, BACKLOG_WAIT_MICROS);
+
+    @Test
+    void aSilentConnectionTimesOutTwoSecondsAfterItIsAccepted() {
+        assertFalse(activity.isIdleTimedOut(ACCEPTED_MICROS + 2_000_000));
+        assertTrue(activity.isIdleTimedOut(ACCEPTED_MICROS + 2_000_001));
+        assertFalse(activity.isRequestTimedOut(ACCEPTED_MICROS + 2_000_001));
+    }
+
+    @Test
+    void theFirstRequestTimesOutTwoSecondsAfterItsConnectionIsAccepted() {
+        activity.bytesReceived(ACCEPTED_MICROS + 1_900_000);
+        assertTrue(activity.isReceivingRequest());
+        assertFalse(activity.isRequestTimedOut(ACCEPTED_MICROS + 2_000_000));
+        assertTrue(activity.isRequestTimedOut(ACCEPTED_MICROS + 2_000_001));
+        assertFalse(activity.isIdleTimedOut(ACCEPTED_MICROS + 9_000_000));
+    }
+
+    @Test
+    void aLaterRequestTimesOutTwoSecondsAfterItsFirstByte() {
+        activity.bytesReceived(ACCEPTED_MICROS);
+        activity.requestReceived();
+        long startMicros = ACCEPTED_MICROS + 3_000_000;
+        activity.bytesReceived(startMicros);
+        activity.bytesReceived(startMicros + 1_000_000);
+        assertFalse(activity.isRequestTimedOut(startMicros + 2_000_000));
+        assertTrue(activity.isRequestTimedOut(startMicros + 2_000_001));
+    }
+
+    @Test
+    void aConnectionBetweenRequestsTimesOutFourSecondsAfterItsLastResponse() {
+        activity.bytesReceived(ACCEPTED_MICROS);
+        activity.requestReceived();
+        long responseMicros = ACCEPTED_MICROS + 10_000_000;
+        activity.responseWritten(responseMicros);
+        assertFalse(activity.isIdleTimedOut(responseMicros + 4_000_000));
+        assertTrue(activity.isIdleTimedOut(responseMicros + 4_000_001));
+    }
+
+    @Test
+    void theWaitInTheBacklogCountsForAPromptFirstRequestAlone() {
+        activity.bytesReceived(ACCEPTED_MICROS + 1_000);
+        assertEquals(BACKLOG_WAIT_MICROS, activity.requestBacklogWaitMicros());
+        activity.requestReceived();
+        activity.bytesReceived(ACCEPTED_MICROS + 2_000);
+        assertEquals(0, activity.requestBacklogWaitMicros());
+
+        ConnectionActivity late = new ConnectionActivity(ACCEPTED_MICROS, BACKLOG_WAIT_MICROS);
+        late.bytesReceived(ACCEPTED_MICROS + ReadTrackingEventLoop.FRESH_US);
+        assertEquals(0, late.requestBacklogWaitMicros());
+    }
+}
