--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -49,8 +49,8 @@
         connections = new ClientConnections(limits);
         listener = new ClientListener(reads, this::connectionAccepted);
         shutdown = new GracefulShutdown(reads, listener, connections, this.requestClasses);
-        exchangeFactory = new RequestExchangeFactory(
-                reads, new RequestParser(this.requestClasses), dispatcher, shutdown::latestResponseMicros);
+        exchangeFactory =
+                new RequestExchangeFactory(reads, new RequestParser(this.requestClasses), dispatcher, shutdown);
     }
 
     /** Replaces the request classes. Requests that are already dispatched keep their class and deadline. */
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -10,7 +10,6 @@
  * send; then connections and the listener close as they become idle. Confined to the event loop.
  */
 final class GracefulShutdown {
-    private static final long MICROS_PER_MILLI = 1_000;
     /** Clients go on connecting for up to 400 ms after the request to shut down; with a reserve. */
     private static final long SERVING_MICROS = 600_000;
     /** A connection that was active, or a listener that accepted, this recently may have a request on its way. */
@@ -107,8 +106,7 @@
         boolean unaware = nowMicros >= servingUntilMicros + MAX_LISTENING_MICROS;
         if (listener.isOpen() && listener.isAccepting() && (idleMicros >= MIN_IDLE_MICROS || unaware)) {
             listener.close();
-            SidecarLog.info("listener_closed client_connections=" + connections.size() + " idle_millis="
-                    + idleMicros / MICROS_PER_MILLI);
+            SidecarLog.info("listener_closed client_connections=" + connections.size());
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -9,7 +9,7 @@
  * @param tenant null where the request names none
  * @param routingKey a number of 53 bits, or {@link #NO_ROUTING_KEY}
  * @param costHintMicros 0 where the request has none
- * @param remainingMicros how long the client waits for the response, at most the deadline of the class
+ * @param remainingMicros the time-out of the client for the response, at most the deadline of the class
  */
 record ParsedRequest(
         String id,
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -1,6 +1,5 @@
 package loadbalancer.proxy.client;
 
-import java.util.function.LongSupplier;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
@@ -21,18 +20,18 @@
     private final ReadTrackingEventLoop reads;
     private final RequestParser parser;
     private final RequestDispatcher dispatcher;
-    private final LongSupplier latestResponseMicros;
+    private final GracefulShutdown shutdown;
 
-    /** No deadline is later than {@code latestResponseMicros} at the time when the request is parsed. */
+    /** No deadline is later than the latest response of {@code shutdown}. */
     RequestExchangeFactory(
             ReadTrackingEventLoop reads,
             RequestParser parser,
             RequestDispatcher dispatcher,
-            LongSupplier latestResponseMicros) {
+            GracefulShutdown shutdown) {
         this.reads = reads;
         this.parser = parser;
         this.dispatcher = dispatcher;
-        this.latestResponseMicros = latestResponseMicros;
+        this.shutdown = shutdown;
     }
 
     RequestExchange create(ReceivedRequest received, ResponseHandler responseHandler) throws InvalidRequestException {
@@ -52,6 +51,6 @@
                 remainingMicros / MAX_RESPONSE_MARGIN_DIVISOR);
         long backlogWaitMicros = Math.min(received.backlogWaitMicros(), remainingMicros / MAX_BACKLOG_WAIT_DIVISOR);
         long sentMicros = received.sentMicros() - backlogWaitMicros;
-        return Math.min(latestResponseMicros.getAsLong(), sentMicros + remainingMicros - marginMicros);
+        return Math.min(shutdown.latestResponseMicros(), sentMicros + remainingMicros - marginMicros);
     }
 }
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -138,17 +138,17 @@
             sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
             sidecar.start();
             try (StubServer.Client silent = sidecar.client();
-                    StubServer.Client half = sidecar.client();
-                    StubServer.Client body = sidecar.client();
-                    StubServer.Client once = sidecar.client()) {
-                half.send("GET /api HTTP/1.1\r\nX-T");
-                body.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-                assertStatus(200, once, SidecarFixture.get("a1", 20_000));
+                    StubServer.Client partialHead = sidecar.client();
+                    StubServer.Client partialBody = sidecar.client();
+                    StubServer.Client afterOneRequest = sidecar.client()) {
+                partialHead.send("GET /api HTTP/1.1\r\nX-T");
+                partialBody.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
+                assertStatus(200, afterOneRequest, SidecarFixture.get("a1", 20_000));
                 assertTrue(silent.ended());
-                assertEquals(408, half.status());
-                assertEquals(408, body.status());
-                assertTrue(half.ended() && body.ended());
-                assertTrue(once.ended(), "a connection is kept for good after a single request");
+                assertEquals(408, partialHead.status());
+                assertEquals(408, partialBody.status());
+                assertTrue(partialHead.ended() && partialBody.ended());
+                assertTrue(afterOneRequest.ended(), "a connection is kept for good after a single request");
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -263,7 +263,7 @@
 
     /** As the protocol has it, however slowly the client writes the request. */
     @Test
-    void theTimeOfARequestCountsFromItsLastByte() throws Exception {
+    void theDeadlineIsCountedFromTheLastByteOfTheRequest() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.onRequest = (now, request, out) -> out.fail(request.id());
             sidecar.start();
