--- /dev/null
+++ b/src/main/java/loadbalancer/decision/AdmissionControl.java
@@ -0,0 +1,39 @@
+package loadbalancer.decision;
+
+import java.util.SplittableRandom;
+
+/**
+ * Decides whether an arriving request is admitted. Where the fleet's queues take a good part of the time within which
+ * answers are wanted, admitting all would make all late. Requests of low priority are shed first, and the probability
+ * rises linearly with the wait, so that the sidecars do not swing in step.
+ */
+final class AdmissionControl {
+    /** Nothing is shed while the wait is below this part of the latency objective. */
+    private static final double SHED_NONE_RATIO = 0.25;
+    /** All is shed where the wait exceeds this part of it. */
+    private static final double SHED_ALL_RATIO = 0.75;
+
+    private final PolicySettings settings;
+    private final SplittableRandom random;
+    private final FleetLoadEstimator fleetLoad;
+    private final RoutingTable routing;
+
+    AdmissionControl(
+            PolicySettings settings, SplittableRandom random, FleetLoadEstimator fleetLoad, RoutingTable routing) {
+        this.settings = settings;
+        this.random = random;
+        this.fleetLoad = fleetLoad;
+        this.routing = routing;
+    }
+
+    boolean shouldShed(long nowMicros, PendingRequest request) {
+        double capacity = routing.capacityPerSecond();
+        if (capacity <= 0) {
+            return false;
+        }
+        double waitMicros = 1e6 * (fleetLoad.fleetInFlight(nowMicros) - routing.cores()) / capacity;
+        double priority = settings.relativePriority(request.requestClass());
+        double waitRatio = waitMicros / (settings.topLatencyObjectiveMicros() * Math.sqrt(priority));
+        return random.nextDouble() * (SHED_ALL_RATIO - SHED_NONE_RATIO) < waitRatio - SHED_NONE_RATIO;
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomes.java
@@ -0,0 +1,66 @@
+package loadbalancer.decision;
+
+/** Takes the end of an attempt: updates what is known of its endpoint, and decides on the request. */
+final class AttemptOutcomes {
+    private final EndpointRegistry registry;
+    private final RequestTracker requests;
+    private final InFlightAttempts attempts;
+    private final IdleConnectionGuard idleConnections;
+    private final OutcomeEvaluator evaluator;
+    private final LoadReports reports;
+    private final RequestScheduler scheduler;
+
+    AttemptOutcomes(
+            EndpointRegistry registry,
+            RequestTracker requests,
+            InFlightAttempts attempts,
+            IdleConnectionGuard idleConnections,
+            OutcomeEvaluator evaluator,
+            LoadReports reports,
+            RequestScheduler scheduler) {
+        this.registry = registry;
+        this.requests = requests;
+        this.attempts = attempts;
+        this.idleConnections = idleConnections;
+        this.evaluator = evaluator;
+        this.reports = reports;
+        this.scheduler = scheduler;
+    }
+
+    void onOutcome(long nowMicros, AttemptResult result) {
+        reports.take(result.endpointId(), result.loadReport(), nowMicros);
+        PendingRequest request = requests.find(result.requestId());
+        if (request == null) {
+            reports.clearFresh();
+            return;
+        }
+        Attempt attempt = request.attemptInFlight(result.attempt());
+        if (attempt == null) {
+            return;
+        }
+        endAttempt(nowMicros, attempt, result);
+        decide(nowMicros, request, result);
+        scheduler.dispatch(nowMicros);
+        reports.clearFresh();
+    }
+
+    private void endAttempt(long nowMicros, Attempt attempt, AttemptResult result) {
+        TrackedEndpoint endpoint = attempt.endpoint();
+        attempt.end(result.outcome());
+        attempts.remove(nowMicros, attempt, result.outcome());
+        idleConnections.noteUse(nowMicros, endpoint);
+        idleConnections.closeIfDraining(endpoint);
+        registry.forgetIfDone(endpoint);
+        evaluator.evaluate(nowMicros, attempt, result.outcome(), result.latencyMicros());
+    }
+
+    private void decide(long nowMicros, PendingRequest request, AttemptResult result) {
+        if (result.requestDone() || request.isFinished()) {
+            requests.finish(request);
+        } else if (result.outcome() == AttemptOutcome.INVALID_REQUEST) {
+            requests.fail(request);
+        } else if (!request.isStreaming()) {
+            scheduler.retry(nowMicros, request);
+        }
+    }
+}
--- a/src/main/java/loadbalancer/decision/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryBackoff.java
@@ -24,6 +24,13 @@
         this.random = random;
     }
 
+    /** Polls for the first time, where lists are polled. */
+    void start() {
+        if (settings.current().polledDiscovery()) {
+            poll();
+        }
+    }
+
     /** Polls unless a call is in progress or a list has come. */
     void poll() {
         if (!pollInProgress && !listReceived) {
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/EndpointAvailability.java
@@ -0,0 +1,56 @@
+package loadbalancer.decision;
+
+/** Decides whether an endpoint can take a request now: by its health, the rules for sends, and its load. */
+final class EndpointAvailability {
+    /** Estimated loads are fractions; below this an endpoint counts as idle. */
+    private static final double IDLE_LOAD = 0.5;
+    /** Sampled loads are whole requests: half a request is the tolerance. */
+    private static final double SAMPLED_TOLERANCE = 0.5;
+
+    private static final double ESTIMATE_TOLERANCE = 0.01;
+
+    private final PolicySettings settings;
+    private final OutlierDetector outliers;
+    private final RetryEligibility retries;
+    private final SlowStart slowStart;
+    private final LoadEstimator loads;
+    private final SpeedEstimator speeds;
+
+    EndpointAvailability(
+            PolicySettings settings,
+            OutlierDetector outliers,
+            RetryEligibility retries,
+            SlowStart slowStart,
+            LoadEstimator loads,
+            SpeedEstimator speeds) {
+        this.settings = settings;
+        this.outliers = outliers;
+        this.retries = retries;
+        this.slowStart = slowStart;
+        this.loads = loads;
+        this.speeds = speeds;
+    }
+
+    boolean hasRoom(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
+        if (!outliers.isAvailable(endpoint, nowMicros) || !retries.maySend(nowMicros, request, endpoint)) {
+            return false;
+        }
+        double capacityRatio = slowStart.capacityRatio(endpoint, nowMicros);
+        double cores = Math.max(1, endpoint.machineType().cores()) * capacityRatio;
+        double load = loads.load(endpoint, nowMicros);
+        if (needed == RoomNeeded.FREE_CORE) {
+            return load < Math.max(1, Math.round(cores)) - 0.5;
+        }
+        double tolerance = settings.samplesLoad() ? SAMPLED_TOLERANCE : ESTIMATE_TOLERANCE;
+        if (load + 1 > Math.max(1, LoadEstimator.maxLoad(cores)) + tolerance) {
+            return false;
+        }
+        boolean idle = !settings.localLoadIsSmallPart() && load < IDLE_LOAD && capacityRatio >= 1;
+        return idle || answersInTime(nowMicros, request, endpoint, load);
+    }
+
+    private boolean answersInTime(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, double load) {
+        double expectedMicros = speeds.expectedMicros(endpoint, request.workMicros(), load, nowMicros);
+        return nowMicros + expectedMicros <= request.usefulUntilMicros();
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -0,0 +1,119 @@
+package loadbalancer.decision;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** The endpoints of the lists so far and their machine types. Removed ones stay until their last attempt has ended. */
+final class EndpointRegistry {
+    private static final Comparator<TrackedEndpoint> SHARED_ORDER =
+            Comparator.comparingInt(TrackedEndpoint::sharedOrder).thenComparing(TrackedEndpoint::id);
+
+    private final PolicySettings settings;
+    private final IdleConnectionGuard idleConnections;
+    private final Map<String, TrackedEndpoint> endpoints = new LinkedHashMap<>();
+    private final Map<String, MachineTypeEstimate> machineTypes = new LinkedHashMap<>();
+    private final List<TrackedEndpoint> ready = new ArrayList<>();
+
+    EndpointRegistry(PolicySettings settings, IdleConnectionGuard idleConnections) {
+        this.settings = settings;
+        this.idleConnections = idleConnections;
+    }
+
+    /** Takes up machine types and zone numbers of the settings. What was learned stays. */
+    void onSettings() {
+        for (String name : settings.current().machineTypes()) {
+            machineTypeOrNew(name);
+        }
+        for (TrackedEndpoint endpoint : endpoints.values()) {
+            endpoint.setZone(settings.zoneIndex(endpoint.listing().zone()));
+        }
+    }
+
+    /** Takes a list. Endpoints that a full list does not name are removed. */
+    void onEndpointList(EndpointListType type, List<Endpoint> listings) {
+        Set<String> named = new HashSet<>();
+        for (Endpoint listing : listings) {
+            named.add(listing.id());
+            TrackedEndpoint endpoint = endpoints.get(listing.id());
+            if (endpoint == null) {
+                endpoint = new TrackedEndpoint(listing, machineTypeOrNew(listing.machineType()));
+                endpoints.put(listing.id(), endpoint);
+            }
+            endpoint.update(listing, settings.zoneIndex(listing.zone()));
+            idleConnections.closeIfDraining(endpoint);
+        }
+        if (type != EndpointListType.DELTA) {
+            for (TrackedEndpoint endpoint : endpoints.values()) {
+                if (!named.contains(endpoint.id())) {
+                    endpoint.markRemoved();
+                    idleConnections.closeIfDraining(endpoint);
+                }
+            }
+        }
+        endpoints.values().removeIf(TrackedEndpoint::isForgettable);
+    }
+
+    private MachineTypeEstimate machineTypeOrNew(String name) {
+        MachineTypeEstimate machineType = machineTypes.get(name);
+        if (machineType == null) {
+            machineType = new MachineTypeEstimate(settings.initialCores());
+            machineTypes.put(name, machineType);
+        }
+        return machineType;
+    }
+
+    /** Collects the ready endpoints, for a subset in the order that all sidecars share. */
+    void updateReady() {
+        ready.clear();
+        for (TrackedEndpoint endpoint : endpoints.values()) {
+            if (endpoint.isReady()) {
+                ready.add(endpoint);
+            }
+        }
+        if (settings.usesSubset()) {
+            ready.sort(SHARED_ORDER);
+        }
+    }
+
+    /** Forgets a removed endpoint after its last attempt. */
+    void forgetIfDone(TrackedEndpoint endpoint) {
+        if (endpoint.isForgettable()) {
+            endpoints.remove(endpoint.id(), endpoint);
+        }
+    }
+
+    /** The endpoint of this id, or null. */
+    TrackedEndpoint find(String id) {
+        return endpoints.get(id);
+    }
+
+    /** Number of endpoints, removed ones with attempts in flight among them. */
+    int size() {
+        return endpoints.size();
+    }
+
+    /** The ready endpoints: a view that changes with {@link #updateReady}. */
+    List<TrackedEndpoint> ready() {
+        return ready;
+    }
+
+    /** The machine type of this name, or null. */
+    MachineTypeEstimate machineType(String name) {
+        return machineTypes.get(name);
+    }
+
+    Collection<MachineTypeEstimate> machineTypes() {
+        return machineTypes.values();
+    }
+
+    /** Names and estimates of the machine types. */
+    Set<Map.Entry<String, MachineTypeEstimate>> machineTypeEntries() {
+        return machineTypes.entrySet();
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/EstimateLog.java
@@ -0,0 +1,79 @@
+package loadbalancer.decision;
+
+import java.util.Map;
+
+/** Writes a line of what the split is made from every few seconds, in the form {@code event key=value ...}. */
+final class EstimateLog {
+    private static final long INTERVAL_MICROS = 5_000_000;
+
+    private final LoadBalancerActions actions;
+    private final Sources sources;
+    private long writtenMicros;
+
+    /** The parts whose estimates are logged. */
+    record Sources(
+            RequestRateEstimator rates,
+            WorkEstimator work,
+            FleetLoadEstimator fleetLoad,
+            RoutingTable routing,
+            RequestQueue queue,
+            EndpointRegistry registry,
+            SlowStart slowStart) {}
+
+    EstimateLog(LoadBalancerActions actions, Sources sources, long nowMicros) {
+        this.actions = actions;
+        this.sources = sources;
+        writtenMicros = nowMicros;
+    }
+
+    void writeIfDue(long nowMicros) {
+        if (nowMicros - writtenMicros < INTERVAL_MICROS) {
+            return;
+        }
+        writtenMicros = nowMicros;
+        StringBuilder line = new StringBuilder("estimates");
+        appendFleet(line, nowMicros);
+        for (Map.Entry<String, MachineTypeEstimate> machineType : sources.registry.machineTypeEntries()) {
+            line.append(" machine_type=").append(machineType.getKey());
+            append(line, "cores", hundredths(machineType.getValue().cores()));
+            append(line, "speed_factor", hundredths(machineType.getValue().speedFactor()));
+        }
+        for (TrackedEndpoint endpoint : sources.registry.ready()) {
+            line.append(" endpoint=").append(endpoint.id());
+            append(line, "local_in_flight", endpoint.localInFlight());
+            append(line, "deviation", hundredths(endpoint.deviation.ratio()));
+            line.append(" state=").append(state(endpoint, nowMicros));
+        }
+        actions.log(line.toString());
+    }
+
+    private void appendFleet(StringBuilder line, long nowMicros) {
+        append(line, "local_rate_per_second", Math.round(sources.rates.localPerSecond()));
+        append(line, "fleet_rate_per_second", Math.round(sources.rates.fleetPerSecond()));
+        append(line, "queued_requests", sources.queue.size());
+        append(line, "local_in_flight", Math.round(sources.fleetLoad.localInFlight(nowMicros)));
+        append(line, "fleet_in_flight", Math.round(sources.fleetLoad.fleetInFlight(nowMicros)));
+        append(line, "cores", Math.round(sources.routing.cores()));
+        append(line, "live_peers", sources.fleetLoad.livePeers());
+        append(line, "mean_work_micros", Math.round(sources.work.meanWorkMicros()));
+    }
+
+    private String state(TrackedEndpoint endpoint, long nowMicros) {
+        if (OutlierDetector.isEjected(endpoint, nowMicros)) {
+            return "ejected";
+        }
+        return sources.slowStart.capacityRatio(endpoint, nowMicros) < 1 ? "slow_start" : "ready";
+    }
+
+    private static void append(StringBuilder line, String key, long value) {
+        line.append(' ').append(key).append('=').append(value);
+    }
+
+    private static void append(StringBuilder line, String key, double value) {
+        line.append(' ').append(key).append('=').append(value);
+    }
+
+    private static double hundredths(double value) {
+        return Math.round(value * 100) / 100.0;
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -0,0 +1,57 @@
+package loadbalancer.decision;
+
+import java.util.List;
+
+/** Takes the estimates of other sidecars, within what is plausible: a false message must not do much harm. */
+final class GossipReceiver {
+    /** A rate of more than so many times the tenants' quotas is not believed. */
+    private static final double MAX_QUOTA_RATIO = 5;
+
+    private final PolicySettings settings;
+    private final GossipState gossip;
+    private final EndpointRegistry registry;
+    private final IdleConnectionGuard idleConnections;
+
+    GossipReceiver(
+            PolicySettings settings,
+            GossipState gossip,
+            EndpointRegistry registry,
+            IdleConnectionGuard idleConnections) {
+        this.settings = settings;
+        this.gossip = gossip;
+        this.registry = registry;
+        this.idleConnections = idleConnections;
+    }
+
+    /** Takes a message; one that is malformed or of an unknown sidecar is ignored. */
+    void onMessage(long nowMicros, int sidecarIndex, byte[] bytes) {
+        List<String> machineTypes = settings.current().machineTypes();
+        GossipMessage message = new GossipMessage(machineTypes.size());
+        if (!isPeer(sidecarIndex) || !message.read(bytes) || message.zone >= gossip.zoneCount()) {
+            return;
+        }
+        double ratePerSecond = plausibleRate(message.rate);
+        double inFlight = plausibleInFlight(message.held, ratePerSecond);
+        gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zone, nowMicros));
+        for (int i = 0; i < machineTypes.size(); i++) {
+            registry.machineType(machineTypes.get(i)).blend(message.slow[i], message.cores[i], message.answers[i]);
+        }
+        if (message.idleLimitUs > 0) {
+            idleConnections.lowerLimit(nowMicros, message.idleLimitUs);
+        }
+    }
+
+    private boolean isPeer(int sidecarIndex) {
+        return sidecarIndex >= 0 && sidecarIndex < settings.sidecarCount() && sidecarIndex != settings.sidecarIndex();
+    }
+
+    private double plausibleRate(double ratePerSecond) {
+        double quotas = settings.quotaSumPerSecond();
+        return quotas > 0 ? Math.min(ratePerSecond, MAX_QUOTA_RATIO * quotas) : ratePerSecond;
+    }
+
+    /** Endpoints hold no more for a sidecar than what came to it within the longest deadline. */
+    private double plausibleInFlight(double inFlight, double ratePerSecond) {
+        return Math.min(inFlight, 1 + ratePerSecond * settings.longestDeadlineMicros() / 1e6);
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/HealthCheckResults.java
@@ -0,0 +1,55 @@
+package loadbalancer.decision;
+
+/** Takes the outcomes of health checks. */
+final class HealthCheckResults {
+    private final EndpointRegistry registry;
+    private final HealthChecks healthChecks;
+    private final OutlierDetector outliers;
+    private final LoadEstimator loads;
+    private final LoadReports reports;
+    private final RequestScheduler scheduler;
+
+    HealthCheckResults(
+            EndpointRegistry registry,
+            HealthChecks healthChecks,
+            OutlierDetector outliers,
+            LoadEstimator loads,
+            LoadReports reports,
+            RequestScheduler scheduler) {
+        this.registry = registry;
+        this.healthChecks = healthChecks;
+        this.outliers = outliers;
+        this.loads = loads;
+        this.reports = reports;
+        this.scheduler = scheduler;
+    }
+
+    /**
+     * Takes one outcome.
+     *
+     * @param report null where the endpoint told no load
+     */
+    void onOutcome(long nowMicros, String endpointId, AttemptOutcome outcome, LoadReport report) {
+        TrackedEndpoint endpoint = registry.find(endpointId);
+        if (endpoint == null) {
+            return;
+        }
+        healthChecks.onAnswer(endpoint);
+        if (outcome != AttemptOutcome.OK) {
+            outliers.recordFailure(nowMicros, endpoint, failureWeight(outcome));
+        } else if (report == null) {
+            loads.assumeFull(endpoint, nowMicros);
+        }
+        reports.take(endpointId, report, nowMicros);
+        scheduler.dispatch(nowMicros);
+        reports.clearFresh();
+    }
+
+    private static int failureWeight(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case CONNECT_FAILED -> OutlierDetector.EJECTION_WEIGHT;
+            case MALFORMED_RESPONSE -> OutlierDetector.CONNECTION_FAILURE_WEIGHT;
+            default -> OutlierDetector.FAILURE_WEIGHT;
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -0,0 +1,92 @@
+package loadbalancer.decision;
+
+/**
+ * Estimates how many requests an endpoint holds: the local attempts in flight, and those of other sidecars by the
+ * endpoint's last load report, which ages as the endpoint works on. It is the load that HALO_PoD compares (section
+ * IV-C).
+ */
+final class LoadEstimator {
+    /** From so many times the expected time on, an unanswered attempt counts as additional load. */
+    private static final double STALL_RATIO = 2;
+
+    private final WorkEstimator work;
+
+    /** What an endpoint last reported of its load. */
+    static final class ReportedLoad {
+        private int lostAttempts;
+        private double remoteInFlight;
+        private long reportedMicros = Long.MIN_VALUE / 2;
+
+        /** Local attempts that the endpoint did not hold. */
+        int lostAttempts() {
+            return lostAttempts;
+        }
+
+        long reportedMicros() {
+            return reportedMicros;
+        }
+    }
+
+    LoadEstimator(WorkEstimator work) {
+        this.work = work;
+    }
+
+    /** The most requests that an endpoint should hold, by square-root staffing. */
+    static double maxLoad(double cores) {
+        return cores + Math.sqrt(cores);
+    }
+
+    /** Requests that the endpoint holds, as far as known here. */
+    double load(TrackedEndpoint endpoint, long nowMicros) {
+        ReportedLoad report = endpoint.reportedLoad;
+        double cores = endpoint.machineType().cores();
+        double servedSinceReport =
+                (nowMicros - report.reportedMicros) * cores / (endpoint.speedFactor() * work.meanWorkMicros());
+        int missing = 0;
+        Attempt oldestAtWork = null;
+        for (Attempt attempt : endpoint.attempts.inOrder()) {
+            if (!attempt.isOvertaken()) {
+                oldestAtWork = attempt;
+                break;
+            }
+            if (attempt.isMissing(nowMicros)) {
+                missing++;
+            }
+        }
+        double load = Math.max(0, endpoint.localInFlight() - Math.max(report.lostAttempts, missing))
+                + Math.max(0, report.remoteInFlight - servedSinceReport);
+        if (oldestAtWork != null && report.lostAttempts == 0) {
+            // A stall shows first in local attempts that are overdue.
+            double overdue = (nowMicros - oldestAtWork.sentMicros())
+                            / oldestAtWork.forecast().timeMicros()
+                    - STALL_RATIO;
+            if (overdue > 0) {
+                load += overdue * cores;
+            }
+        }
+        return load;
+    }
+
+    /** Takes a load report. Overdue attempts that the endpoint does not hold were lost on their connections. */
+    void onReport(TrackedEndpoint endpoint, LoadReport report, long nowMicros) {
+        long overdue = 0;
+        for (Attempt attempt : endpoint.attempts.inOrder()) {
+            if (attempt.isOverdue(nowMicros)) {
+                overdue++;
+            }
+        }
+        int local = endpoint.localInFlight();
+        ReportedLoad reported = endpoint.reportedLoad;
+        reported.lostAttempts = (int) Math.min(overdue, Math.max(0, local - Math.round(report.inFlight())));
+        reported.remoteInFlight = Math.max(0, report.inFlight() - local);
+        reported.reportedMicros = nowMicros;
+    }
+
+    /** Takes an answer without a load report, or a rejection: the endpoint is rather full than idle. */
+    void assumeFull(TrackedEndpoint endpoint, long nowMicros) {
+        double full = Math.max(
+                load(endpoint, nowMicros), maxLoad(endpoint.machineType().cores()));
+        endpoint.reportedLoad.remoteInFlight = full - endpoint.localInFlight();
+        endpoint.reportedLoad.reportedMicros = nowMicros;
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/PendingRequest.java
@@ -0,0 +1,145 @@
+package loadbalancer.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.settings.RequestClass;
+
+/** A request from its acceptance until it has its final answer and no attempt is in flight. */
+final class PendingRequest {
+    private final Request request;
+    private final RequestClass requestClass;
+    private final double workMicros;
+    private final long deadlineMicros;
+    private final long usefulUntilMicros;
+    private final long queueOrderMicros;
+    private final List<Attempt> attempts = new ArrayList<>(1);
+    private boolean finished;
+    private boolean streaming;
+    private boolean queued;
+    private long overdueCheckMicros;
+
+    final HealthCheckedSelector.Sampling sampling = new HealthCheckedSelector.Sampling();
+
+    /**
+     * @param workMicros its expected work, in microseconds of a standard core
+     * @param relativePriority its class's priority weight relative to the highest one, up to 1
+     */
+    PendingRequest(
+            long nowMicros, Request request, RequestClass requestClass, double workMicros, double relativePriority) {
+        this.request = request;
+        this.requestClass = requestClass;
+        this.workMicros = workMicros;
+        deadlineMicros = nowMicros + request.remainingMicros();
+        long objectiveMicros =
+                (long) (requestClass.latencyObjectiveMicros() + requestClass.latencyObjectiveWorkRatio() * workMicros);
+        long usefulMicros = requestClass.lateWeight() > 0 ? request.remainingMicros() : objectiveMicros;
+        usefulUntilMicros = Math.min(deadlineMicros, nowMicros + usefulMicros);
+        double delayRatio = (1 - relativePriority) / 2 + (request.retry() ? 1 : 0);
+        queueOrderMicros = nowMicros + objectiveMicros + (long) (delayRatio * objectiveMicros);
+    }
+
+    String id() {
+        return request.id();
+    }
+
+    Request request() {
+        return request;
+    }
+
+    RequestClass requestClass() {
+        return requestClass;
+    }
+
+    double workMicros() {
+        return workMicros;
+    }
+
+    long deadlineMicros() {
+        return deadlineMicros;
+    }
+
+    /** The latency objective, or the deadline where a late answer has some worth: an answer after it has none. */
+    long usefulUntilMicros() {
+        return usefulUntilMicros;
+    }
+
+    /** Queued requests are served in this order: by latency objective, those of low priority and retries later. */
+    long queueOrderMicros() {
+        return queueOrderMicros;
+    }
+
+    /** All attempts in the order of their sends; an attempt's number is its place. */
+    List<Attempt> attempts() {
+        return attempts;
+    }
+
+    boolean hasAttempts() {
+        return !attempts.isEmpty();
+    }
+
+    boolean hasAttemptInFlight() {
+        for (Attempt attempt : attempts) {
+            if (!attempt.hasEnded()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether any attempt may have been executed by an endpoint. */
+    boolean mayHaveRun() {
+        for (Attempt attempt : attempts) {
+            if (attempt.mayHaveRun()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** The attempt in flight of this number, or null. */
+    Attempt attemptInFlight(int number) {
+        if (number < 0 || number >= attempts.size() || attempts.get(number).hasEnded()) {
+            return null;
+        }
+        return attempts.get(number);
+    }
+
+    /** It has its final answer, or nobody waits for one any more. */
+    boolean isFinished() {
+        return finished;
+    }
+
+    /** Called by {@link RequestTracker} alone. */
+    void markFinished() {
+        finished = true;
+    }
+
+    /** The first part of its response has been forwarded. */
+    boolean isStreaming() {
+        return streaming;
+    }
+
+    /** Called by {@link RequestTracker} alone. */
+    void markStreaming() {
+        streaming = true;
+    }
+
+    boolean isQueued() {
+        return queued;
+    }
+
+    /** Called by {@link RequestQueue} alone. */
+    void setQueued(boolean queued) {
+        this.queued = queued;
+    }
+
+    /** When the endpoint of its overdue attempt was checked. */
+    long overdueCheckMicros() {
+        return overdueCheckMicros;
+    }
+
+    /** Called by {@link HedgingPolicy} alone. */
+    void setOverdueCheckMicros(long nowMicros) {
+        overdueCheckMicros = nowMicros;
+    }
+}
--- a/src/main/java/loadbalancer/decision/PolicySettings.java
+++ b/src/main/java/loadbalancer/decision/PolicySettings.java
@@ -7,6 +7,7 @@
 import loadbalancer.settings.LoadReporting;
 import loadbalancer.settings.RequestClass;
 import loadbalancer.settings.RequestLimits;
+import loadbalancer.settings.Tenant;
 import loadbalancer.settings.UsagePrices;
 
 /** The settings in force, and what the rules derive from them once per change. Written by {@link #apply} alone. */
@@ -25,6 +26,7 @@
     private double topPriorityWeight;
     private long topLatencyObjectiveMicros;
     private long longestDeadlineMicros;
+    private double quotaSumPerSecond;
     private int localZone;
     private boolean samplesLoad;
 
@@ -39,6 +41,8 @@
             longestDeadlineMicros = Math.max(longestDeadlineMicros, requestClass.deadlineMicros());
         }
         topLatencyObjectiveMicros = shortestObjectiveMicros(settings, topPriorityWeight);
+        quotaSumPerSecond =
+                settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
         localZone = zoneIndex(settings.zone());
         samplesLoad = settings.limits().healthChecks()
                 && settings.loadReporting() != LoadReporting.NONE
@@ -98,6 +102,11 @@
         return longestDeadlineMicros;
     }
 
+    /** Requests a second of all tenants' quotas together. */
+    double quotaSumPerSecond() {
+        return quotaSumPerSecond;
+    }
+
     /** The number of a zone in the settings; 0 where they do not name it. */
     int zoneIndex(String zone) {
         return Math.max(0, current.zones().indexOf(zone));
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/RetryEligibility.java
@@ -0,0 +1,72 @@
+package loadbalancer.decision;
+
+import loadbalancer.settings.Idempotency;
+import loadbalancer.settings.RequestClass;
+
+/**
+ * Keeps the rules on what may be sent, sent again and rejected; every send and every rejection is checked here. A
+ * request that may have run is repeated only where the repetition has no second effect, and is never rejected, since a
+ * rejection promises that nothing has run.
+ */
+final class RetryEligibility {
+    private final PolicySettings settings;
+    private final SlowStartBudget slowStartBudget;
+
+    RetryEligibility(PolicySettings settings, SlowStartBudget slowStartBudget) {
+        this.settings = settings;
+        this.slowStartBudget = slowStartBudget;
+    }
+
+    /** Whether the request may be sent to the endpoint now. */
+    boolean maySend(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
+        boolean attemptsSpent = request.attempts().size() >= settings.limits().maxAttempts();
+        if (request.isFinished() || request.isStreaming() || attemptsSpent) {
+            return false;
+        }
+        if (!endpoint.isReady() || nowMicros >= request.deadlineMicros()) {
+            return false;
+        }
+        if (request.hasAttempts() && !allowedAfterAttempts(nowMicros, request, endpoint)) {
+            return false;
+        }
+        return slowStartBudget.allows(endpoint, request.workMicros(), nowMicros);
+    }
+
+    private boolean allowedAfterAttempts(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
+        for (Attempt earlier : request.attempts()) {
+            if (!earlier.hasEnded() && !settings.limits().hedging()) {
+                return false;
+            }
+            if (earlier.mayHaveRun() && !isRepeatable(earlier, endpoint, nowMicros)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Whether repeating an attempt that may have run has no second effect, by its class and deduplication scope. */
+    boolean isRepeatable(Attempt earlier, TrackedEndpoint endpoint, long nowMicros) {
+        RequestClass requestClass = earlier.request().requestClass();
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            return true;
+        }
+        // It has to arrive within the window, also where it needs a new connection.
+        long arrivalMicros = nowMicros + settings.limits().connectTimeoutMicros();
+        if (requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT
+                || arrivalMicros - earlier.sentMicros() >= requestClass.deduplicationWindowMicros()) {
+            return false;
+        }
+        Endpoint before = earlier.listing();
+        Endpoint after = endpoint.listing();
+        return switch (requestClass.deduplicationScope()) {
+            case ALL -> true;
+            case ZONE -> after.zone().equals(before.zone());
+            case CELL -> after.cell() == before.cell();
+        };
+    }
+
+    /** Whether the request may be answered with the promise that nothing has run. */
+    boolean mayReject(PendingRequest request) {
+        return !request.isFinished() && !request.isStreaming() && !request.mayHaveRun();
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/SharedHash.java
@@ -0,0 +1,13 @@
+package loadbalancer.decision;
+
+/** A hash that all sidecars compute alike, so that they agree on an order without messages. */
+final class SharedHash {
+    private SharedHash() {}
+
+    /** Spreads neighbouring values and salts over all ints. */
+    static int mix(int value, int salt) {
+        int hash = (value ^ salt * 0x9e3779b9) * 0x85ebca6b;
+        hash = (hash ^ hash >>> 15) * 0xc2b2ae35;
+        return hash ^ hash >>> 16;
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -0,0 +1,111 @@
+package loadbalancer.decision;
+
+/**
+ * One endpoint of the list and what each rule remembers of it. Every part is written by the class that declares it and
+ * by nobody else; this class itself keeps what the list says.
+ */
+final class TrackedEndpoint {
+    private final String id;
+    private final MachineTypeEstimate machineType;
+    private final int sharedOrder;
+    private Endpoint listing;
+    private boolean ready;
+    private boolean removed;
+    private int zone;
+    private double routingWeight;
+
+    final InFlightAttempts.OfEndpoint attempts = new InFlightAttempts.OfEndpoint();
+    final SpeedEstimator.Deviation deviation = new SpeedEstimator.Deviation();
+    final LoadEstimator.ReportedLoad reportedLoad = new LoadEstimator.ReportedLoad();
+    final OutlierDetector.Health health = new OutlierDetector.Health();
+    final HealthChecks.Progress healthChecks = new HealthChecks.Progress();
+    final IdleConnectionGuard.ConnectionUse connections = new IdleConnectionGuard.ConnectionUse();
+    final SlowStartBudget.SentWork slowStartWork = new SlowStartBudget.SentWork();
+
+    TrackedEndpoint(Endpoint listing, MachineTypeEstimate machineType) {
+        id = listing.id();
+        this.listing = listing;
+        this.machineType = machineType;
+        sharedOrder = SharedHash.mix(id.hashCode(), 0);
+    }
+
+    /** Takes a new line of the list; a process that has started again loses what was held against the old one. */
+    void update(Endpoint newListing, int zoneIndex) {
+        if (newListing.startedMicros() != listing.startedMicros()) {
+            deviation.reset();
+            health.reset();
+            connections.reset();
+        }
+        listing = newListing;
+        zone = zoneIndex;
+        ready = newListing.state() == EndpointState.READY;
+        removed = newListing.state() == EndpointState.REMOVED;
+    }
+
+    void markRemoved() {
+        ready = false;
+        removed = true;
+    }
+
+    /** Renumbers the zone under new settings. */
+    void setZone(int zoneIndex) {
+        zone = zoneIndex;
+    }
+
+    /** Called by {@link RoutingTable} alone. */
+    void setRoutingWeight(double weight) {
+        routingWeight = weight;
+    }
+
+    String id() {
+        return id;
+    }
+
+    MachineTypeEstimate machineType() {
+        return machineType;
+    }
+
+    /** The endpoint's line of the list. */
+    Endpoint listing() {
+        return listing;
+    }
+
+    /** Its place in an order that all sidecars share. */
+    int sharedOrder() {
+        return sharedOrder;
+    }
+
+    /** Its zone's number in the settings; 0 where they do not name it. */
+    int zone() {
+        return zone;
+    }
+
+    boolean isReady() {
+        return ready;
+    }
+
+    /** No longer listed: only its last attempts are waited for. */
+    boolean isRemoved() {
+        return removed;
+    }
+
+    /** Ids are not used again where endpoints are replaced: a removed one is kept for its last attempts alone. */
+    boolean isForgettable() {
+        return removed && attempts.isEmpty();
+    }
+
+    /** Its probability in a draw, relative to the others: {@code p_i / k_i} of Eq. (4). */
+    double routingWeight() {
+        return routingWeight;
+    }
+
+    /** Time for work that takes a standard core one unit: the machine type's, times the endpoint's deviation. */
+    double speedFactor() {
+        return machineType.speedFactor() * deviation.ratio();
+    }
+
+    /** Attempts of this sidecar that are in flight here. */
+    int localInFlight() {
+        return attempts.size();
+    }
+}
--- a/src/main/java/loadbalancer/decision/WeightedSampler.java
+++ b/src/main/java/loadbalancer/decision/WeightedSampler.java
@@ -4,34 +4,45 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Servers to draw from, with their shares summed up: one draw is one search. */
+/** Draws endpoints with probabilities in proportion to their routing weights: one draw is one binary search. */
 final class WeightedSampler {
-    private final List<PolicyState.Server> servers = new ArrayList<>();
-    private double[] upTo = new double[16];
+    private static final int INITIAL_CAPACITY = 16;
+
+    private final List<TrackedEndpoint> endpoints = new ArrayList<>();
+    private double[] cumulativeWeights = new double[INITIAL_CAPACITY];
 
     void clear() {
-        servers.clear();
+        endpoints.clear();
     }
 
-    void add(PolicyState.Server s) {
-        int n = servers.size();
-        if (n == upTo.length) upTo = Arrays.copyOf(upTo, 2 * n);
-        upTo[n] = s.share + (n > 0 ? upTo[n - 1] : 0);
-        servers.add(s);
+    /** Adds an endpoint with the routing weight that it has now. */
+    void add(TrackedEndpoint endpoint) {
+        int size = endpoints.size();
+        if (size == cumulativeWeights.length) {
+            cumulativeWeights = Arrays.copyOf(cumulativeWeights, 2 * size);
+        }
+        double before = size > 0 ? cumulativeWeights[size - 1] : 0;
+        cumulativeWeights[size] = endpoint.routingWeight() + before;
+        endpoints.add(endpoint);
     }
 
     int size() {
-        return servers.size();
+        return endpoints.size();
     }
 
-    PolicyState.Server get(int i) {
-        return servers.get(i);
+    TrackedEndpoint get(int index) {
+        return endpoints.get(index);
     }
 
-    /** The server at {@code x} of [0, 1) of the summed shares. */
-    PolicyState.Server draw(double x) {
-        int n = servers.size();
-        int i = Arrays.binarySearch(upTo, 0, n, x * upTo[n - 1]);
-        return servers.get(Math.min(n - 1, i < 0 ? -i - 1 : i + 1));
+    /**
+     * The endpoint at a point of the summed weights.
+     *
+     * @param uniform a random number in [0, 1)
+     */
+    TrackedEndpoint draw(double uniform) {
+        int size = endpoints.size();
+        int found = Arrays.binarySearch(cumulativeWeights, 0, size, uniform * cumulativeWeights[size - 1]);
+        int index = found < 0 ? -found - 1 : found + 1;
+        return endpoints.get(Math.min(size - 1, index));
     }
 }
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -14,7 +14,7 @@
 
 /** One real module and what stands for its process: nothing but the carrying of its decisions to the models. */
 final class SimulatedSidecar extends NoOpActions {
-    private static final Pattern FLEET_RATE = Pattern.compile("^rate \\d+ of (\\d+) a second");
+    private static final Pattern FLEET_RATE = Pattern.compile("^estimates .*?\\bfleet_rate_per_second=(\\d+)");
 
     private final SimulatedFleet fleet;
     private final int me;
--- a/src/test/java/loadbalancer/decision/LoadBalancingPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/LoadBalancingPolicyTest.java
@@ -185,8 +185,8 @@
             PolicyFixture rig = new PolicyFixture();
             rig.secondCopies = copies;
             rig.start().list(A, B).request("r");
-            PolicyState.Server other = rig.policy.servers.get(rig.sentTo("r", 0).equals("a") ? "b" : "a");
-            assertEquals(copies, rig.policy.maySend(rig.now, rig.policy.open.get("r"), other));
+            TrackedEndpoint other = rig.policy.endpoints.find(rig.sentTo("r", 0).equals("a") ? "b" : "a");
+            assertEquals(copies, rig.policy.retries.maySend(rig.now, rig.policy.requests.find("r"), other));
         }
     }
 
@@ -550,7 +550,7 @@
                 rig.after(150_000).outcome(id, 0, to, AttemptOutcome.OK, 290_000);
             }
         }
-        double slow = rig.policy.kinds.get("k").slow;
+        double slow = rig.policy.endpoints.machineType("k").speedFactor();
         assertTrue(slow > 0.6 && slow < 1.7, "slowness " + slow);
     }
 
@@ -589,11 +589,11 @@
         for (int peer = 1; peer < 14; peer++) {
             rig.policy.onGossip(rig.now, peer, word.bytes());
         }
-        double cores = rig.policy.kinds.get("k").cores;
+        double cores = rig.policy.endpoints.machineType("k").cores();
         assertTrue(cores > 3 && cores <= 4, "cores " + cores);
         word.cores[0] = 255;
         rig.policy.onGossip(rig.now, 1, word.bytes());
-        assertTrue(rig.policy.kinds.get("k").cores < 3 * cores, "one false word moves little");
+        assertTrue(rig.policy.endpoints.machineType("k").cores() < 3 * cores, "one false word moves little");
     }
 
     @Test
@@ -822,11 +822,11 @@
                             PolicyFixture.up("n" + i, "za", 1),
                             state(i == 0 ? A : PolicyFixture.up("n" + (i - 1), "za", 1), EndpointState.REMOVED)));
         }
-        assertEquals(2, rig.policy.servers.size());
+        assertEquals(2, rig.policy.endpoints.size());
         rig.outcome("r", 0, "a", AttemptOutcome.OK, 1_000);
-        assertEquals(1, rig.policy.servers.size());
+        assertEquals(1, rig.policy.endpoints.size());
         rig.list(B);
-        assertEquals(1, rig.policy.servers.size());
+        assertEquals(1, rig.policy.endpoints.size());
     }
 
     // ---- the ordinary path ----------------------------------------------------------------------
@@ -860,8 +860,8 @@
     void tiesGoByUnequalShares() {
         PolicyFixture rig = new PolicyFixture().start().list(A, B).request("first");
         rig.outcome("first", 0, rig.sentTo("first", 0), AttemptOutcome.OK, 75_000);
-        rig.policy.servers.get("a").share = 0.75;
-        rig.policy.servers.get("b").share = 0.25;
+        rig.policy.endpoints.find("a").setRoutingWeight(0.75);
+        rig.policy.endpoints.find("b").setRoutingWeight(0.25);
         int toA = 0;
         for (int i = 0; i < 4000; i++) {
             rig.actions.clear();
@@ -920,8 +920,8 @@
                 }
             }
         }
-        double slow = rig.policy.servers.get("a").slow();
-        double cores = rig.policy.kinds.get("k").cores;
+        double slow = rig.policy.endpoints.find("a").speedFactor();
+        double cores = rig.policy.endpoints.machineType("k").cores();
         assertTrue(cores > 2.5 && cores < 5, "" + cores);
         // Four cores at twice the standard speed: what counts is what they can do together.
         assertTrue(cores / slow > 6.5 && cores / slow < 9.5, cores + " cores, slowness " + slow);
