--- /dev/null
+++ b/src/main/java/loadbalancer/decision/EndpointRouting.java
@@ -0,0 +1,27 @@
+package loadbalancer.decision;
+
+/** The endpoints of one policy and the parts that decide on their shares of the requests, wired together. */
+final class EndpointRouting {
+    final IdleConnectionGuard idleConnections;
+    final EndpointRegistry registry;
+    final HealthChecks healthChecks;
+    final OutlierDetector outliers;
+    final ZoneShares zoneShares;
+    final EndpointSubset subset;
+    final RoutingTable table;
+    final FleetLoadEstimator fleetLoad;
+
+    EndpointRouting(Estimators estimators, LoadBalancerActions actions) {
+        PolicySettings settings = estimators.settings;
+        RequestRateEstimator rates = estimators.rates;
+        SlowStart slowStart = estimators.slowStart;
+        idleConnections = new IdleConnectionGuard(settings, actions);
+        registry = new EndpointRegistry(settings, idleConnections);
+        healthChecks = new HealthChecks(actions);
+        outliers = new OutlierDetector(registry);
+        zoneShares = new ZoneShares(settings, registry, estimators.gossip);
+        subset = new EndpointSubset(settings, registry, rates, zoneShares, idleConnections);
+        table = new RoutingTable(settings, registry, subset, rates, estimators.work, estimators.speeds, slowStart);
+        fleetLoad = new FleetLoadEstimator(settings, estimators.attempts, estimators.gossip, slowStart, table);
+    }
+}
--- a/src/main/java/loadbalancer/decision/EstimateLog.java
+++ b/src/main/java/loadbalancer/decision/EstimateLog.java
@@ -7,22 +7,21 @@
     private static final long INTERVAL_MICROS = 5_000_000;
 
     private final LoadBalancerActions actions;
-    private final Sources sources;
+    private final Estimators estimators;
+    private final EndpointRouting routing;
+    private final RequestQueue queue;
     private long writtenMicros;
 
-    /** The parts whose estimates are logged. */
-    record Sources(
-            RequestRateEstimator rates,
-            WorkEstimator work,
-            FleetLoadEstimator fleetLoad,
-            RoutingTable routing,
+    EstimateLog(
+            LoadBalancerActions actions,
+            Estimators estimators,
+            EndpointRouting routing,
             RequestQueue queue,
-            EndpointRegistry registry,
-            SlowStart slowStart) {}
-
-    EstimateLog(LoadBalancerActions actions, Sources sources, long nowMicros) {
+            long nowMicros) {
         this.actions = actions;
-        this.sources = sources;
+        this.estimators = estimators;
+        this.routing = routing;
+        this.queue = queue;
         writtenMicros = nowMicros;
     }
 
@@ -33,12 +32,12 @@
         writtenMicros = nowMicros;
         StringBuilder line = new StringBuilder("estimates");
         appendFleet(line, nowMicros);
-        for (Map.Entry<String, MachineTypeEstimate> machineType : sources.registry.machineTypeEntries()) {
+        for (Map.Entry<String, MachineTypeEstimate> machineType : routing.registry.machineTypeEntries()) {
             line.append(" machine_type=").append(machineType.getKey());
             append(line, "cores", hundredths(machineType.getValue().cores()));
             append(line, "speed_factor", hundredths(machineType.getValue().speedFactor()));
         }
-        for (TrackedEndpoint endpoint : sources.registry.ready()) {
+        for (TrackedEndpoint endpoint : routing.registry.ready()) {
             line.append(" endpoint=").append(endpoint.id());
             append(line, "local_in_flight", endpoint.localInFlight());
             append(line, "deviation", hundredths(endpoint.deviation.ratio()));
@@ -48,21 +47,21 @@
     }
 
     private void appendFleet(StringBuilder line, long nowMicros) {
-        append(line, "local_rate_per_second", Math.round(sources.rates.localPerSecond()));
-        append(line, "fleet_rate_per_second", Math.round(sources.rates.fleetPerSecond()));
-        append(line, "queued_requests", sources.queue.size());
-        append(line, "local_in_flight", Math.round(sources.fleetLoad.localInFlight(nowMicros)));
-        append(line, "fleet_in_flight", Math.round(sources.fleetLoad.fleetInFlight(nowMicros)));
-        append(line, "cores", Math.round(sources.routing.cores()));
-        append(line, "live_peers", sources.fleetLoad.livePeers());
-        append(line, "mean_work_micros", Math.round(sources.work.meanWorkMicros()));
+        append(line, "local_rate_per_second", Math.round(estimators.rates.localPerSecond()));
+        append(line, "fleet_rate_per_second", Math.round(estimators.rates.fleetPerSecond()));
+        append(line, "queued_requests", queue.size());
+        append(line, "local_in_flight", Math.round(routing.fleetLoad.localInFlight(nowMicros)));
+        append(line, "fleet_in_flight", Math.round(routing.fleetLoad.fleetInFlight(nowMicros)));
+        append(line, "cores", Math.round(routing.table.cores()));
+        append(line, "live_peers", routing.fleetLoad.livePeers());
+        append(line, "mean_work_micros", Math.round(estimators.work.meanWorkMicros()));
     }
 
     private String state(TrackedEndpoint endpoint, long nowMicros) {
         if (OutlierDetector.isEjected(endpoint, nowMicros)) {
             return "ejected";
         }
-        return sources.slowStart.capacityRatio(endpoint, nowMicros) < 1 ? "slow_start" : "ready";
+        return estimators.slowStart.capacityRatio(endpoint, nowMicros) < 1 ? "slow_start" : "ready";
     }
 
     private static void append(StringBuilder line, String key, long value) {
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/Estimators.java
@@ -0,0 +1,22 @@
+package loadbalancer.decision;
+
+import loadbalancer.settings.LoadBalancerSettings;
+
+/** The estimators of one policy and the settings that they follow, wired together. */
+final class Estimators {
+    final PolicySettings settings = new PolicySettings();
+    final GossipState gossip = new GossipState();
+    final InFlightAttempts attempts = new InFlightAttempts();
+    final SlowStart slowStart = new SlowStart(settings);
+    final WorkEstimator work;
+    final RequestRateEstimator rates;
+    final SpeedEstimator speeds;
+    final LoadEstimator loads;
+
+    Estimators(LoadBalancerSettings initialSettings, long nowMicros) {
+        work = new WorkEstimator(initialSettings.requestClasses());
+        rates = new RequestRateEstimator(settings, gossip, nowMicros);
+        speeds = new SpeedEstimator(settings, work, slowStart);
+        loads = new LoadEstimator(work);
+    }
+}
--- a/src/main/java/loadbalancer/decision/GossipMessage.java
+++ b/src/main/java/loadbalancer/decision/GossipMessage.java
@@ -1,63 +1,86 @@
 package loadbalancer.decision;
 
 import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
 
-/** What one sidecar tells another, and its bytes: plain data, used by {@link LoadBalancingPolicy}. */
-final class GossipMessage {
-    /** The sender's zone, by its number in the settings. */
-    int zone;
-    /** Requests a second that come to the sender. */
-    double rate;
-    /** Requests that the servers hold for the sender. */
-    double held;
-    /** Of each kind the slowness, the cores and the number of answers behind them. */
-    final double[] slow;
-
-    final double[] cores;
-    final int[] answers;
-    /** Idle connections are dropped after about this long; 0 where nothing was seen of it. */
-    long idleLimitUs;
-
-    GossipMessage(int kinds) {
-        slow = new double[kinds];
-        cores = new double[kinds];
-        answers = new int[kinds];
-    }
+/**
+ * What one sidecar says to another, and its encoding: fixed-point numbers of two bytes, values that are too large as
+ * the largest one.
+ *
+ * @param zone the sender's zone, by the zone's number in the settings
+ * @param ratePerSecond requests a second that come to the sender
+ * @param inFlight requests that endpoints hold for the sender
+ * @param machineTypes what the sender learned of each machine type, in the order of the settings
+ * @param idleLimitMicros idle connections are dropped after about this long; 0 if the sender saw no such failure
+ */
+record GossipMessage(
+        int zone, double ratePerSecond, double inFlight, List<MachineTypeSample> machineTypes, long idleLimitMicros) {
+
+    private static final int MAX_SHORT = 65_535;
+    private static final int MAX_BYTE = 255;
+    private static final double RATE_UNITS_PER_REQUEST = 8.0;
+    private static final double SAMPLE_UNITS = 256.0;
+    private static final double MICROS_PER_MILLI = 1_000.0;
+    /** Zone, rate, in-flight requests and idle limit. */
+    private static final int FIXED_BYTES = 7;
+
+    private static final int BYTES_PER_MACHINE_TYPE = 5;
 
-    private int length() {
-        return 5 * slow.length + 7;
+    /**
+     * What a sidecar learned of one machine type.
+     *
+     * @param answers number of answers behind the estimates, up to 255
+     */
+    record MachineTypeSample(double speedFactor, double cores, int answers) {}
+
+    byte[] encode() {
+        ByteBuffer buffer = ByteBuffer.allocate(encodedLength(machineTypes.size()));
+        buffer.put((byte) Math.min(MAX_BYTE, zone));
+        buffer.putShort(unsigned(ratePerSecond * RATE_UNITS_PER_REQUEST));
+        buffer.putShort(unsigned(inFlight));
+        for (MachineTypeSample sample : machineTypes) {
+            buffer.putShort(unsigned(sample.speedFactor() * SAMPLE_UNITS));
+            buffer.putShort(unsigned(sample.cores() * SAMPLE_UNITS));
+            buffer.put((byte) Math.min(MAX_BYTE, sample.answers()));
+        }
+        buffer.putShort(unsigned(idleLimitMicros / MICROS_PER_MILLI));
+        return buffer.array();
     }
 
-    byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(length());
-        b.put((byte) Math.min(255, zone)).putShort(unsigned(rate * 8)).putShort(unsigned(held));
-        for (int i = 0; i < slow.length; i++) {
-            b.putShort(unsigned(slow[i] * 256))
-                    .putShort(unsigned(cores[i] * 256))
-                    .put((byte) Math.min(255, answers[i]));
+    /**
+     * Decodes a message.
+     *
+     * @param machineTypeCount number of machine types in the settings
+     * @return null where the bytes are no message of so many machine types
+     */
+    static GossipMessage decode(byte[] bytes, int machineTypeCount) {
+        if (bytes.length != encodedLength(machineTypeCount)) {
+            return null;
         }
-        return b.putShort(unsigned(idleLimitUs / 1000.0)).array();
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        int zone = Byte.toUnsignedInt(buffer.get());
+        double ratePerSecond = unsignedShort(buffer) / RATE_UNITS_PER_REQUEST;
+        double inFlight = unsignedShort(buffer);
+        List<MachineTypeSample> machineTypes = new ArrayList<>(machineTypeCount);
+        for (int i = 0; i < machineTypeCount; i++) {
+            double speedFactor = unsignedShort(buffer) / SAMPLE_UNITS;
+            double cores = unsignedShort(buffer) / SAMPLE_UNITS;
+            machineTypes.add(new MachineTypeSample(speedFactor, cores, Byte.toUnsignedInt(buffer.get())));
+        }
+        long idleLimitMicros = unsignedShort(buffer) * (long) MICROS_PER_MILLI;
+        return new GossipMessage(zone, ratePerSecond, inFlight, machineTypes, idleLimitMicros);
+    }
+
+    private static int encodedLength(int machineTypeCount) {
+        return FIXED_BYTES + BYTES_PER_MACHINE_TYPE * machineTypeCount;
     }
 
     private static short unsigned(double value) {
-        return (short) Math.min(65_535, Math.round(value));
+        return (short) Math.min(MAX_SHORT, Math.round(value));
     }
 
-    /** False where the bytes are no such message; nothing is to be taken from it then. */
-    boolean read(byte[] message) {
-        if (message.length != length()) {
-            return false;
-        }
-        ByteBuffer b = ByteBuffer.wrap(message);
-        zone = b.get() & 255;
-        rate = (b.getShort() & 65_535) / 8.0;
-        held = b.getShort() & 65_535;
-        for (int i = 0; i < slow.length; i++) {
-            slow[i] = (b.getShort() & 65_535) / 256.0;
-            cores[i] = (b.getShort() & 65_535) / 256.0;
-            answers[i] = b.get() & 255;
-        }
-        idleLimitUs = (b.getShort() & 65_535) * 1000L;
-        return true;
+    private static int unsignedShort(ByteBuffer buffer) {
+        return Short.toUnsignedInt(buffer.getShort());
     }
 }
--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -26,18 +26,19 @@
     /** Takes a message; one that is malformed or of an unknown sidecar is ignored. */
     void onMessage(long nowMicros, int sidecarIndex, byte[] bytes) {
         List<String> machineTypes = settings.current().machineTypes();
-        GossipMessage message = new GossipMessage(machineTypes.size());
-        if (!isPeer(sidecarIndex) || !message.read(bytes) || message.zone >= gossip.zoneCount()) {
+        GossipMessage message = isPeer(sidecarIndex) ? GossipMessage.decode(bytes, machineTypes.size()) : null;
+        if (message == null || message.zone() >= gossip.zoneCount()) {
             return;
         }
-        double ratePerSecond = plausibleRate(message.rate);
-        double inFlight = plausibleInFlight(message.held, ratePerSecond);
-        gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zone, nowMicros));
+        double ratePerSecond = plausibleRate(message.ratePerSecond());
+        double inFlight = plausibleInFlight(message.inFlight(), ratePerSecond);
+        gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zone(), nowMicros));
         for (int i = 0; i < machineTypes.size(); i++) {
-            registry.machineType(machineTypes.get(i)).blend(message.slow[i], message.cores[i], message.answers[i]);
+            registry.machineType(machineTypes.get(i))
+                    .blend(message.machineTypes().get(i));
         }
-        if (message.idleLimitUs > 0) {
-            idleConnections.lowerLimit(nowMicros, message.idleLimitUs);
+        if (message.idleLimitMicros() > 0) {
+            idleConnections.lowerLimit(nowMicros, message.idleLimitMicros());
         }
     }
 
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -1,5 +1,6 @@
 package loadbalancer.decision;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -31,17 +32,15 @@
             PolicySettings settings,
             SplittableRandom random,
             LoadBalancerActions actions,
-            EndpointRegistry registry,
             RequestRateEstimator rates,
-            FleetLoadEstimator fleetLoad,
-            IdleConnectionGuard idleConnections) {
+            EndpointRouting routing) {
         this.settings = settings;
         this.random = random;
         this.actions = actions;
-        this.registry = registry;
+        registry = routing.registry;
         this.rates = rates;
-        this.fleetLoad = fleetLoad;
-        this.idleConnections = idleConnections;
+        fleetLoad = routing.fleetLoad;
+        idleConnections = routing.idleConnections;
     }
 
     /** Starts to send, at a random phase, where the settings want gossip. */
@@ -59,7 +58,7 @@
             return;
         }
         rates.measure(nowMicros);
-        byte[] bytes = message(nowMicros).bytes();
+        byte[] bytes = message(nowMicros).encode();
         int peers = settings.sidecarCount() - 1;
         double affordable = affordableMessages(bytes.length);
         if (affordable >= peers) {
@@ -71,19 +70,16 @@
     }
 
     private GossipMessage message(long nowMicros) {
-        List<String> machineTypes = settings.current().machineTypes();
-        GossipMessage message = new GossipMessage(machineTypes.size());
-        message.zone = settings.localZone();
-        message.rate = rates.localPerSecond();
-        message.held = fleetLoad.localInFlight(nowMicros);
-        for (int i = 0; i < machineTypes.size(); i++) {
-            MachineTypeEstimate machineType = registry.machineType(machineTypes.get(i));
-            message.slow[i] = machineType.speedFactor();
-            message.cores[i] = machineType.cores();
-            message.answers[i] = Math.min(MachineTypeEstimate.MAX_ANSWERS, machineType.answers());
+        List<GossipMessage.MachineTypeSample> samples = new ArrayList<>();
+        for (String name : settings.current().machineTypes()) {
+            samples.add(registry.machineType(name).sample());
         }
-        message.idleLimitUs = idleConnections.locallySeenLimitMicros(nowMicros);
-        return message;
+        return new GossipMessage(
+                settings.localZone(),
+                rates.localPerSecond(),
+                fleetLoad.localInFlight(nowMicros),
+                samples,
+                idleConnections.locallySeenLimitMicros(nowMicros));
     }
 
     /** Messages that this sidecar may send now: each pays for its part of the fleet's requests. */
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -13,16 +13,10 @@
  * {@link RetryEligibility} checks every send and rejection.
  */
 public final class LoadBalancingPolicy implements LoadBalancer {
-    private final PolicySettings settings = new PolicySettings();
-    private final GossipState gossip = new GossipState();
-    private final WorkEstimator work;
-    private final RequestRateEstimator rates;
-    final EndpointRegistry endpoints;
+    private final Estimators estimators;
     private final EndpointSubset subset;
-    private final RoutingRefresh refresh;
-    final RetryEligibility retries;
-    final RequestTracker requests;
     private final AdmissionControl admission;
+    private final RoutingRefresh refresh;
     private final RequestScheduler scheduler;
     private final HedgingPolicy hedging;
     private final AttemptOutcomes attemptOutcomes;
@@ -30,6 +24,9 @@
     private final GossipSender gossipSender;
     private final GossipReceiver gossipReceiver;
     private final DiscoveryBackoff discovery;
+    final EndpointRegistry endpoints;
+    final RetryEligibility retries;
+    final RequestTracker requests;
 
     /**
      * Starts the module.
@@ -39,55 +36,22 @@
     public LoadBalancingPolicy(
             LoadBalancerSettings initialSettings, long seed, long nowMicros, LoadBalancerActions actions) {
         SplittableRandom random = new SplittableRandom(seed);
-        // Estimates.
-        SlowStart slowStart = new SlowStart(settings);
-        InFlightAttempts attempts = new InFlightAttempts();
-        work = new WorkEstimator(initialSettings.requestClasses());
-        rates = new RequestRateEstimator(settings, gossip, nowMicros);
-        SpeedEstimator speeds = new SpeedEstimator(settings, work, slowStart);
-        LoadEstimator loads = new LoadEstimator(work);
-        // Endpoints and the split.
-        IdleConnectionGuard idle = new IdleConnectionGuard(settings, actions);
-        endpoints = new EndpointRegistry(settings, idle);
-        HealthChecks healthChecks = new HealthChecks(actions);
-        OutlierDetector outliers = new OutlierDetector(endpoints);
-        ZoneShares zoneShares = new ZoneShares(settings, endpoints, gossip);
-        subset = new EndpointSubset(settings, endpoints, rates, zoneShares, idle);
-        RoutingTable routing = new RoutingTable(settings, endpoints, subset, rates, work, speeds, slowStart);
-        FleetLoadEstimator fleetLoad = new FleetLoadEstimator(settings, attempts, gossip, slowStart, routing);
-        // Rules for sends.
-        SlowStartBudget budget = new SlowStartBudget(settings, slowStart, work, rates, routing);
-        retries = new RetryEligibility(settings, budget);
-        RequestQueue queue = new RequestQueue(settings, routing, actions);
-        requests = new RequestTracker(settings, work, queue, retries, actions);
-        admission = new AdmissionControl(settings, random, fleetLoad, routing);
-        EstimateLog log = new EstimateLog(
-                actions,
-                new EstimateLog.Sources(rates, work, fleetLoad, routing, queue, endpoints, slowStart),
-                nowMicros);
-        refresh = new RoutingRefresh(rates, log, outliers, subset, routing);
-        // Selection.
-        EndpointAvailability availability =
-                new EndpointAvailability(settings, outliers, retries, slowStart, loads, speeds);
-        PowerOfTwoSelector powerOfTwo = new PowerOfTwoSelector(settings, random, availability, loads);
-        LoadReports reports = new LoadReports(endpoints, loads);
-        HealthCheckedSelector healthChecked =
-                new HealthCheckedSelector(endpoints, rates, routing, reports, healthChecks, availability, powerOfTwo);
-        EndpointSelector selector =
-                new EndpointSelector(settings, random, refresh, routing, zoneShares, powerOfTwo, healthChecked);
-        // Attempts.
-        AttemptForecaster forecaster = new AttemptForecaster(loads, fleetLoad, speeds);
-        OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, retries, actions);
-        AttemptSender sender = new AttemptSender(retries, forecaster, attempts, budget, idle, overdueTimer, actions);
-        scheduler = new RequestScheduler(settings, endpoints, queue, selector, sender, requests, retries);
-        hedging = new HedgingPolicy(routing, refresh, healthChecks, powerOfTwo, sender, overdueTimer, actions);
-        OutcomeEvaluator evaluator = new OutcomeEvaluator(idle, speeds, outliers, loads);
-        attemptOutcomes = new AttemptOutcomes(endpoints, requests, attempts, idle, evaluator, reports, scheduler);
-        healthCheckResults = new HealthCheckResults(endpoints, healthChecks, outliers, loads, reports, scheduler);
-        // Messages.
-        gossipSender = new GossipSender(settings, random, actions, endpoints, rates, fleetLoad, idle);
-        gossipReceiver = new GossipReceiver(settings, gossip, endpoints, idle);
-        discovery = new DiscoveryBackoff(settings, actions, random);
+        estimators = new Estimators(initialSettings, nowMicros);
+        EndpointRouting routing = new EndpointRouting(estimators, actions);
+        endpoints = routing.registry;
+        subset = routing.subset;
+        RequestHandling handling = new RequestHandling(estimators, routing, random, actions, nowMicros);
+        retries = handling.retries;
+        requests = handling.requests;
+        admission = handling.admission;
+        refresh = handling.refresh;
+        scheduler = handling.scheduler;
+        hedging = handling.hedging;
+        attemptOutcomes = handling.attemptOutcomes;
+        healthCheckResults = handling.healthCheckResults;
+        gossipSender = new GossipSender(estimators.settings, random, actions, estimators.rates, routing);
+        gossipReceiver = new GossipReceiver(estimators.settings, estimators.gossip, endpoints, routing.idleConnections);
+        discovery = new DiscoveryBackoff(estimators.settings, actions, random);
         apply(initialSettings);
         refresh.invalidate(nowMicros);
         discovery.start();
@@ -101,9 +65,9 @@
     }
 
     private void apply(LoadBalancerSettings newSettings) {
-        settings.apply(newSettings);
-        work.addClasses(newSettings.requestClasses());
-        gossip.reset(settings.sidecarCount(), settings.zoneCount());
+        estimators.settings.apply(newSettings);
+        estimators.work.addClasses(newSettings.requestClasses());
+        estimators.gossip.reset(newSettings.sidecarCount(), newSettings.zones().size());
         endpoints.onSettings();
         gossipSender.startIfWanted();
     }
@@ -126,7 +90,7 @@
 
     @Override
     public void onRequest(long nowMicros, Request request) {
-        rates.countArrival();
+        estimators.rates.countArrival();
         hedging.countArrival();
         PendingRequest accepted = requests.accept(nowMicros, request);
         refresh.refresh(nowMicros);
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -6,7 +6,7 @@
  */
 final class MachineTypeEstimate {
     /** More answers than this add no confidence. */
-    static final int MAX_ANSWERS = 40;
+    private static final int MAX_ANSWERS = 40;
     /** Without answers for this long the speed factor returns towards its best, so that the type is tried again. */
     private static final long STALE_MICROS = 3_000_000;
 
@@ -40,9 +40,9 @@
         return cores;
     }
 
-    /** Number of answers behind the speed factor. */
-    int answers() {
-        return answers;
+    /** The estimates for other sidecars. */
+    GossipMessage.MachineTypeSample sample() {
+        return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_ANSWERS, answers));
     }
 
     /** Notes that an answer told something, of whatever kind. */
@@ -93,15 +93,15 @@
      * Takes in the estimates of another sidecar, by the answers behind each side's. The reach of one message is
      * bounded: a false one moves little, and the next take it back.
      */
-    void blend(double peerSpeedFactor, double peerCores, int peerAnswers) {
-        int peerWeight = Math.min(MAX_ANSWERS, peerAnswers);
-        if (peerSpeedFactor <= 0 || peerWeight == 0) {
+    void blend(GossipMessage.MachineTypeSample peer) {
+        int peerWeight = Math.min(MAX_ANSWERS, peer.answers());
+        if (peer.speedFactor() <= 0 || peerWeight == 0) {
             return;
         }
         double part = GOSSIP_GAIN * peerWeight / (peerWeight + Math.min(MAX_ANSWERS, answers));
-        speedFactor += part * (peerSpeedFactor - speedFactor);
+        speedFactor += part * (peer.speedFactor() - speedFactor);
         // Cores show only where requests queue, which one of many sidecars seldom meets.
-        cores = Math.max(1, cores + part * (Math.min(peerCores, MAX_STEP_RATIO * cores) - cores));
+        cores = Math.max(1, cores + part * (Math.min(peer.cores(), MAX_STEP_RATIO * cores) - cores));
         answers = Math.max(answers, peerWeight / 2);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/RequestHandling.java
@@ -0,0 +1,84 @@
+package loadbalancer.decision;
+
+import java.util.SplittableRandom;
+
+/** The parts that decide on requests from their admission to their final answer, wired together. */
+final class RequestHandling {
+    final RetryEligibility retries;
+    final RequestTracker requests;
+    final AdmissionControl admission;
+    final RoutingRefresh refresh;
+    final RequestScheduler scheduler;
+    final HedgingPolicy hedging;
+    final AttemptOutcomes attemptOutcomes;
+    final HealthCheckResults healthCheckResults;
+
+    private final Estimators estimators;
+    private final EndpointRouting routing;
+    private final EndpointAvailability availability;
+
+    RequestHandling(
+            Estimators estimators,
+            EndpointRouting routing,
+            SplittableRandom random,
+            LoadBalancerActions actions,
+            long nowMicros) {
+        this.estimators = estimators;
+        this.routing = routing;
+        PolicySettings settings = estimators.settings;
+        SlowStartBudget budget =
+                new SlowStartBudget(settings, estimators.slowStart, estimators.work, estimators.rates, routing.table);
+        retries = new RetryEligibility(settings, budget);
+        RequestQueue queue = new RequestQueue(settings, routing.table, actions);
+        requests = new RequestTracker(settings, estimators.work, queue, retries, actions);
+        admission = new AdmissionControl(settings, random, routing.fleetLoad, routing.table);
+        EstimateLog log = new EstimateLog(actions, estimators, routing, queue, nowMicros);
+        refresh = new RoutingRefresh(estimators.rates, log, routing.outliers, routing.subset, routing.table);
+        availability = new EndpointAvailability(
+                settings, routing.outliers, retries, estimators.slowStart, estimators.loads, estimators.speeds);
+        PowerOfTwoSelector powerOfTwo = new PowerOfTwoSelector(settings, random, availability, estimators.loads);
+        LoadReports reports = new LoadReports(routing.registry, estimators.loads);
+        EndpointSelector selector = selector(random, reports, powerOfTwo);
+        OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, retries, actions);
+        AttemptSender sender = sender(budget, overdueTimer, actions);
+        scheduler = new RequestScheduler(settings, routing.registry, queue, selector, sender, requests, retries);
+        hedging = new HedgingPolicy(
+                routing.table, refresh, routing.healthChecks, powerOfTwo, sender, overdueTimer, actions);
+        attemptOutcomes = attemptOutcomes(reports);
+        healthCheckResults = new HealthCheckResults(
+                routing.registry, routing.healthChecks, routing.outliers, estimators.loads, reports, scheduler);
+    }
+
+    private EndpointSelector selector(SplittableRandom random, LoadReports reports, PowerOfTwoSelector powerOfTwo) {
+        HealthCheckedSelector healthChecked = new HealthCheckedSelector(
+                routing.registry,
+                estimators.rates,
+                routing.table,
+                reports,
+                routing.healthChecks,
+                availability,
+                powerOfTwo);
+        return new EndpointSelector(
+                estimators.settings, random, refresh, routing.table, routing.zoneShares, powerOfTwo, healthChecked);
+    }
+
+    private AttemptSender sender(
+            SlowStartBudget budget, OverdueAttemptTimer overdueTimer, LoadBalancerActions actions) {
+        AttemptForecaster forecaster = new AttemptForecaster(estimators.loads, routing.fleetLoad, estimators.speeds);
+        return new AttemptSender(
+                retries, forecaster, estimators.attempts, budget, routing.idleConnections, overdueTimer, actions);
+    }
+
+    private AttemptOutcomes attemptOutcomes(LoadReports reports) {
+        OutcomeEvaluator evaluator =
+                new OutcomeEvaluator(routing.idleConnections, estimators.speeds, routing.outliers, estimators.loads);
+        return new AttemptOutcomes(
+                routing.registry,
+                requests,
+                estimators.attempts,
+                routing.idleConnections,
+                evaluator,
+                reports,
+                scheduler);
+    }
+}
--- a/src/test/java/loadbalancer/decision/GossipMessageTest.java
+++ b/src/test/java/loadbalancer/decision/GossipMessageTest.java
@@ -1,57 +1,48 @@
 package loadbalancer.decision;
 
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.Arrays;
+import java.util.List;
+import loadbalancer.decision.GossipMessage.MachineTypeSample;
 import org.junit.jupiter.api.Test;
 
 class GossipMessageTest {
-    private static GossipMessage word() {
-        GossipMessage word = new GossipMessage(2);
-        word.zone = 1;
-        word.rate = 604.5;
-        word.held = 128;
-        word.slow[0] = 1.5;
-        word.slow[1] = 0.25;
-        word.cores[0] = 3.5;
-        word.answers[1] = 40;
-        word.idleLimitUs = 8_000_000;
-        return word;
+    private static final List<MachineTypeSample> MACHINE_TYPES =
+            List.of(new MachineTypeSample(1.5, 3.5, 0), new MachineTypeSample(0.25, 0, 40));
+
+    private static GossipMessage message(double ratePerSecond, double inFlight) {
+        return new GossipMessage(1, ratePerSecond, inFlight, MACHINE_TYPES, 8_000_000);
     }
 
     @Test
-    void isReadAsItWasWritten() {
-        GossipMessage read = new GossipMessage(2);
-        assertTrue(read.read(word().bytes()));
-        assertEquals(1, read.zone);
-        assertEquals(604.5, read.rate, 0.1);
-        assertEquals(128, read.held);
-        assertArrayEquals(new double[] {1.5, 0.25}, read.slow);
-        assertArrayEquals(new double[] {3.5, 0}, read.cores);
-        assertArrayEquals(new int[] {0, 40}, read.answers);
-        assertEquals(8_000_000, read.idleLimitUs);
+    void isDecodedAsItWasEncoded() {
+        GossipMessage decoded = GossipMessage.decode(message(604.5, 128).encode(), 2);
+        assertNotNull(decoded);
+        assertEquals(1, decoded.zone());
+        assertEquals(604.5, decoded.ratePerSecond(), 0.1);
+        assertEquals(128, decoded.inFlight());
+        assertEquals(MACHINE_TYPES, decoded.machineTypes());
+        assertEquals(8_000_000, decoded.idleLimitMicros());
     }
 
     @Test
-    void noOtherLengthIsAWord() {
-        byte[] bytes = word().bytes();
+    void bytesOfAnotherLengthAreNoMessage() {
+        byte[] bytes = message(604.5, 128).encode();
         for (int length = 0; length < 2 * bytes.length; length++) {
-            assertEquals(length == bytes.length, new GossipMessage(2).read(Arrays.copyOf(bytes, length)));
+            GossipMessage decoded = GossipMessage.decode(Arrays.copyOf(bytes, length), 2);
+            assertEquals(length == bytes.length, decoded != null);
         }
-        assertFalse(new GossipMessage(3).read(bytes));
+        assertNull(GossipMessage.decode(bytes, 3));
     }
 
     @Test
-    void whatIsTooLargeIsToldAsTheMost() {
-        GossipMessage word = word();
-        word.rate = 1e9;
-        word.held = 1e9;
-        GossipMessage read = new GossipMessage(2);
-        assertTrue(read.read(word.bytes()));
-        assertEquals(65_535, read.held);
-        assertEquals(65_535 / 8.0, read.rate);
+    void valuesThatAreTooLargeAreEncodedAsTheLargest() {
+        GossipMessage decoded = GossipMessage.decode(message(1e9, 1e9).encode(), 2);
+        assertNotNull(decoded);
+        assertEquals(65_535, decoded.inFlight());
+        assertEquals(65_535 / 8.0, decoded.ratePerSecond());
     }
 }
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
+import loadbalancer.decision.GossipMessage.MachineTypeSample;
 import loadbalancer.decision.RecordedAction.Cancellation;
 import loadbalancer.decision.RecordedAction.ConnectionClose;
 import loadbalancer.decision.RecordedAction.EndpointPoll;
@@ -200,10 +201,7 @@
 
     /** Gossip of a sidecar that gets {@code requestsPerSecond} and has {@code inFlight} requests in flight. */
     PolicyFixture gossipReceived(int sender, double requestsPerSecond, double inFlight) {
-        GossipMessage message = new GossipMessage(1);
-        message.rate = requestsPerSecond;
-        message.held = inFlight;
-        return gossipReceived(sender, message.bytes());
+        return gossipReceived(sender, gossip(requestsPerSecond, inFlight, new MachineTypeSample(0, 0, 0)));
     }
 
     /** The same gossip of the sidecars 1 to 13. */
@@ -216,11 +214,11 @@
 
     /** Gossip of a sidecar that has learned of the machine type from so many responses. */
     PolicyFixture gossipOfMachineType(int sender, double speedFactor, double cores, int responses) {
-        GossipMessage message = new GossipMessage(1);
-        message.slow[0] = speedFactor;
-        message.cores[0] = cores;
-        message.answers[0] = responses;
-        return gossipReceived(sender, message.bytes());
+        return gossipReceived(sender, gossip(0, 0, new MachineTypeSample(speedFactor, cores, responses)));
+    }
+
+    private static byte[] gossip(double requestsPerSecond, double inFlight, MachineTypeSample sample) {
+        return new GossipMessage(0, requestsPerSecond, inFlight, List.of(sample), 0).encode();
     }
 
     PolicyFixture advance(long micros) {
@@ -316,7 +314,7 @@
         if (lastGossip == null) {
             throw new AssertionError("no well-formed gossip was sent");
         }
-        return lastGossip.rate;
+        return lastGossip.ratePerSecond();
     }
 
     List<Long> timerDelaysMicros(String timerName) {
@@ -391,8 +389,7 @@
     @Override
     public void sendGossip(int target, byte[] message) {
         actions.add(new Gossip(target, message.length));
-        GossipMessage received = new GossipMessage(1);
-        lastGossip = received.read(message) ? received : null;
+        lastGossip = GossipMessage.decode(message, 1);
     }
 
     @Override
