--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -330,30 +330,30 @@
 
     /** Whether the rules allow an attempt of the waiting or running request at the endpoint now. */
     boolean maySend(String requestId, String endpointId) {
-        return policy.maySend(nowMicros, policy.open.get(requestId), policy.servers.get(endpointId));
+        return policy.retries.maySend(nowMicros, policy.requests.find(requestId), policy.endpoints.find(endpointId));
     }
 
     /** How many endpoints are remembered. */
     int endpointCount() {
-        return policy.servers.size();
+        return policy.endpoints.size();
     }
 
     void setRoutingWeight(String endpointId, double weight) {
-        policy.servers.get(endpointId).share = weight;
+        policy.endpoints.find(endpointId).setRoutingWeight(weight);
     }
 
     double speedFactor(String endpointId) {
-        return policy.servers.get(endpointId).slow();
+        return policy.endpoints.find(endpointId).speedFactor();
     }
 
     /** Of the machine type that {@link #endpoint} gives to endpoints. */
     double speedFactorOfMachineType() {
-        return policy.kinds.get(MACHINE_TYPE).slow;
+        return policy.endpoints.machineType(MACHINE_TYPE).speedFactor();
     }
 
     /** Of the machine type that {@link #endpoint} gives to endpoints. */
     double coresOfMachineType() {
-        return policy.kinds.get(MACHINE_TYPE).cores;
+        return policy.endpoints.machineType(MACHINE_TYPE).cores();
     }
 
     // ---- LoadBalancerActions --------------------------------------------------------------------
