--- a/src/main/java/loadbalancer/input/LoadReportFields.java
+++ b/src/main/java/loadbalancer/input/LoadReportFields.java
@@ -2,23 +2,34 @@
 
 import loadbalancer.decision.LoadReport;
 
-/** Gathers the named values of one load report, whichever of their two names they come under. */
+/**
+ * Collects the values of one load report by their outside names and builds the report. The simulator and the endpoints'
+ * HTTP header use different names for the same value; both are mapped here. Not thread-safe.
+ */
 public final class LoadReportFields {
-    private double inFlight = -1;
-    private double queued = -1;
-    private double utilisation = -1;
+    private static final double NOT_REPORTED = -1;
 
-    /** Names that the module has no use for are skipped. */
+    private double inFlight = NOT_REPORTED;
+    private double queued = NOT_REPORTED;
+    private double utilization = NOT_REPORTED;
+
+    /**
+     * Takes one value. A later value of the same meaning replaces an earlier one; names without a meaning for the load
+     * balancer are skipped.
+     *
+     * @param value a count or ratio; negative if it is not reported
+     */
     public void put(String name, double value) {
         switch (name) {
             case "busy_reqs", "inflight" -> inFlight = value;
             case "pending", "queue" -> queued = value;
-            case "cpu_share", "util" -> utilisation = value;
+            case "cpu_share", "util" -> utilization = value;
             default -> {}
         }
     }
 
+    /** The report of the values so far; what was not put is negative in it. */
     public LoadReport report() {
-        return new LoadReport(inFlight, queued, utilisation);
+        return new LoadReport(inFlight, queued, utilization);
     }
 }
--- a/src/main/java/loadbalancer/input/SettingsReader.java
+++ b/src/main/java/loadbalancer/input/SettingsReader.java
@@ -1,7 +1,6 @@
 package loadbalancer.input;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import loadbalancer.settings.DeduplicationScope;
@@ -15,137 +14,158 @@
 import loadbalancer.settings.UsagePrices;
 
 /**
- * Turns path=value pairs, those of {@code ENLIST} or of a sidecar's configuration, into settings. Unknown paths are
- * skipped.
+ * Reads settings from pairs of path and value, as they come from the configuration of a sidecar or on the simulator's
+ * wire.
+ *
+ * <p>This class is the one place that maps the outside names of settings to the terms of the code. Paths that it does
+ * not know are skipped, so that new settings need no new program. A reader may be used from one thread.
  */
 public final class SettingsReader {
-    private final Map<String, String> values;
+    private static final long DEFAULT_CONNECTION_IDLE_TIMEOUT_MICROS = 15_000_000;
+    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
+    private static final long DEFAULT_CLOCK_TICK_MICROS = 1_000;
 
-    /** Settings already taken apart: lists of plain values joined with commas, lists of objects counted. */
+    private final SettingValues values;
+
+    /**
+     * @param values values by path. A list of plain values is one value, joined with commas; a list of objects has its
+     *     length under {@code PATH.count} and its items under {@code PATH.0}, {@code PATH.1} and so on
+     */
     public SettingsReader(Map<String, String> values) {
-        this.values = values;
+        this.values = new SettingValues(values);
     }
 
+    /**
+     * Reads all settings. Their ranges are not checked.
+     *
+     * @throws InvalidSettingsException if a setting is missing or malformed
+     */
     public LoadBalancerSettings read() {
-        List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < (int) need("profiles.count"); i++) {
-            String p = "profiles." + i + ".";
-            classes.add(new RequestClass(
-                    word(p + "name"),
-                    semantics(word(p + "semantics")),
-                    group(values.getOrDefault(p + "group", "all")),
-                    (long) real(p + "window_us", 0),
-                    (long) need(p + "objective_us"),
-                    real(p + "aim_stretch", 0),
-                    (long) need(p + "give_up_us"),
-                    real(p + "importance", 1),
-                    real(p + "late_worth", 0),
-                    flag(p + "stream", false)));
-        }
-        List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < (int) real("accounts.count", 0); i++) {
-            String p = "accounts." + i + ".";
-            tenants.add(new Tenant(word(p + "name"), real(p + "share", 0), real(p + "quota_rps", 0)));
-        }
-        RequestLimits limits = new RequestLimits(
-                (int) real("limits.max_attempts", 1),
-                flag("limits.second_copies", false),
-                flag("limits.cancelling", false),
-                flag("limits.probing", false),
-                flag("limits.peers", false),
-                flag("limits.retry_after", false),
-                (long) real("limits.max_retry_after_us", 0),
-                (long) real("limits.conn_idle_us", 15_000_000),
-                (long) real("limits.dial_timeout_us", 250_000),
-                real("limits.cpu_us_per_request", 0));
-        EndpointRules rules = new EndpointRules(
-                (long) need("rules.drain_grace_us"),
-                need("rules.cold_share"),
-                (long) need("rules.ramp_time_us"),
-                need("rules.fall_multiple"),
-                (long) need("rules.fall_us"),
-                (long) real("rules.ask_every_us", 0),
-                (long) real("rules.answer_slack_us", 0),
-                (long) real("rules.close_on_drain_within_us", 0));
-        UsagePrices prices = new UsagePrices(
-                real("tariffs.cross_zone", 0),
-                real("tariffs.peer", 0),
-                real("tariffs.probe", 0),
-                real("tariffs.connection", 0),
-                real("tariffs.handshake", 0));
+        List<RequestClass> requestClasses = requestClasses();
+        List<Tenant> tenants = tenants();
+        RequestLimits limits = limits();
+        EndpointRules rules = rules();
+        UsagePrices prices = prices();
         return new LoadBalancerSettings(
-                (int) need("me"),
-                (int) need("balancers"),
-                word("zone"),
-                Arrays.asList(values.getOrDefault("azs", word("zone")).split(",")),
-                Arrays.asList(values.getOrDefault("kinds", "").split(",")),
-                classes,
+                values.integer("me"),
+                values.integer("balancers"),
+                values.text("zone"),
+                values.namesOr("azs", values.text("zone")),
+                values.namesOr("kinds", ""),
+                requestClasses,
                 tenants,
                 limits,
                 rules,
-                reports(values.getOrDefault("load_info.how", "off")),
-                values.getOrDefault("discovery", "pushed").equals("on_request"),
-                values.getOrDefault("counted_by", "request").equals("work"),
-                real("over_share_worth", 1),
+                loadReporting("load_info.how"),
+                values.hasText("discovery", "on_request"),
+                values.hasText("counted_by", "work"),
+                values.numberOr("over_share_worth", 1),
                 prices,
-                (long) real("period_us", 1000));
+                values.microsOr("period_us", DEFAULT_CLOCK_TICK_MICROS));
     }
 
-    /** Names of the values of a load report, in the order in which a report has them. */
-    public List<String> reportFields() {
-        return Arrays.asList(values.getOrDefault("load_info.fields", "").split(","));
+    /** Names of the values of a load report, in the order in which the simulator's reports list them. */
+    public List<String> loadReportFieldNames() {
+        return values.namesOr("load_info.fields", "");
     }
 
-    private String word(String path) {
-        String value = values.get(path);
-        if (value == null) {
-            throw new InvalidSettingsException("setting '" + path + "' is missing");
+    private List<RequestClass> requestClasses() {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        int count = values.integer("profiles.count");
+        for (int i = 0; i < count; i++) {
+            requestClasses.add(requestClass("profiles." + i + "."));
         }
-        return value;
+        return requestClasses;
     }
 
-    private double need(String path) {
-        word(path);
-        return real(path, 0);
+    private RequestClass requestClass(String prefix) {
+        return new RequestClass(
+                values.text(prefix + "name"),
+                idempotency(prefix + "semantics"),
+                deduplicationScope(prefix + "group"),
+                values.microsOr(prefix + "window_us", 0),
+                values.micros(prefix + "objective_us"),
+                values.numberOr(prefix + "aim_stretch", 0),
+                values.micros(prefix + "give_up_us"),
+                values.numberOr(prefix + "importance", 1),
+                values.numberOr(prefix + "late_worth", 0),
+                values.flag(prefix + "stream"));
     }
 
-    private double real(String path, double absent) {
-        String value = values.get(path);
-        if (value == null || value.equals("-")) {
-            return absent;
-        }
-        try {
-            return Double.parseDouble(value);
-        } catch (NumberFormatException e) {
-            throw new InvalidSettingsException("setting '" + path + "' is no number: '" + value + "'");
+    private List<Tenant> tenants() {
+        List<Tenant> tenants = new ArrayList<>();
+        int count = values.integerOr("accounts.count", 0);
+        for (int i = 0; i < count; i++) {
+            tenants.add(tenant("accounts." + i + "."));
         }
+        return tenants;
+    }
+
+    private Tenant tenant(String prefix) {
+        return new Tenant(
+                values.text(prefix + "name"),
+                values.numberOr(prefix + "share", 0),
+                values.numberOr(prefix + "quota_rps", 0));
+    }
+
+    private RequestLimits limits() {
+        return new RequestLimits(
+                values.integerOr("limits.max_attempts", 1),
+                values.flag("limits.second_copies"),
+                values.flag("limits.cancelling"),
+                values.flag("limits.probing"),
+                values.flag("limits.peers"),
+                values.flag("limits.retry_after"),
+                values.microsOr("limits.max_retry_after_us", 0),
+                values.microsOr("limits.conn_idle_us", DEFAULT_CONNECTION_IDLE_TIMEOUT_MICROS),
+                values.microsOr("limits.dial_timeout_us", DEFAULT_CONNECT_TIMEOUT_MICROS),
+                values.numberOr("limits.cpu_us_per_request", 0));
+    }
+
+    private EndpointRules rules() {
+        return new EndpointRules(
+                values.micros("rules.drain_grace_us"),
+                values.number("rules.cold_share"),
+                values.micros("rules.ramp_time_us"),
+                values.number("rules.fall_multiple"),
+                values.micros("rules.fall_us"),
+                values.microsOr("rules.ask_every_us", 0),
+                values.microsOr("rules.answer_slack_us", 0),
+                values.microsOr("rules.close_on_drain_within_us", 0));
     }
 
-    private boolean flag(String path, boolean absent) {
-        String value = values.get(path);
-        return value == null ? absent : value.equals("true") || value.equals("1");
+    private UsagePrices prices() {
+        return new UsagePrices(
+                values.numberOr("tariffs.cross_zone", 0),
+                values.numberOr("tariffs.peer", 0),
+                values.numberOr("tariffs.probe", 0),
+                values.numberOr("tariffs.connection", 0),
+                values.numberOr("tariffs.handshake", 0));
     }
 
-    private static Idempotency semantics(String word) {
-        return switch (word) {
+    private Idempotency idempotency(String path) {
+        String name = values.text(path);
+        return switch (name) {
             case "safe" -> Idempotency.IDEMPOTENT;
             case "keyed" -> Idempotency.IDEMPOTENT_WITH_KEY;
             case "unsafe" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new InvalidSettingsException("semantics '" + word + "' is unknown");
+            default -> throw InvalidSettingsException.unknownName(path, name, "safe, keyed, unsafe");
         };
     }
 
-    private static DeduplicationScope group(String word) {
-        return switch (word) {
+    private DeduplicationScope deduplicationScope(String path) {
+        String name = values.textOr(path, "all");
+        return switch (name) {
             case "all", "-" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new InvalidSettingsException("group '" + word + "' is unknown");
+            default -> throw InvalidSettingsException.unknownName(path, name, "all, zone, cell");
         };
     }
 
-    private static LoadReporting reports(String word) {
-        return switch (word) {
+    /** Any other name counts as no reports, with which every policy works. */
+    private LoadReporting loadReporting(String path) {
+        return switch (values.textOr(path, "off")) {
             case "inline" -> LoadReporting.INLINE;
             case "on_probe" -> LoadReporting.ON_HEALTH_CHECK;
             default -> LoadReporting.NONE;
--- a/src/main/java/loadbalancer/simulator/SimulatorHost.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorHost.java
@@ -148,7 +148,7 @@
                                 name,
                                 new Instance(
                                         new LoadBalancingPolicy(settings, seed, now, new Writer(name)),
-                                        reader.reportFields())));
+                                        reader.loadReportFieldNames())));
             }
             case "DOWN" -> instances.remove(name);
             case "ANNOUNCE" -> {
