--- /dev/null
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -0,0 +1,139 @@
+package loadbalancer.simulator;
+
+import java.util.Base64;
+import java.util.List;
+import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.AttemptResult;
+import loadbalancer.decision.Endpoint;
+import loadbalancer.decision.EndpointListType;
+import loadbalancer.decision.LoadReport;
+import loadbalancer.decision.Request;
+import loadbalancer.input.LoadReportFields;
+
+/**
+ * Decodes the events of running instances, one method for each message. The fields of a line have to be read in their
+ * order, so that the order of the statements in these methods matters.
+ */
+final class EventDecoder {
+    private static final long NO_KEY = -1;
+
+    private final EndpointPages pages;
+
+    EventDecoder(EndpointPages pages) {
+        this.pages = pages;
+    }
+
+    /**
+     * Decodes one event.
+     *
+     * @param name the message's name, which has been read from the line
+     * @param fields the rest of the line
+     * @param loadReportFieldNames names of the values of a load report at this instance, in their order
+     * @throws SimulatorProtocolException if the message is unknown or malformed
+     */
+    InstanceEvent decode(String name, FieldReader fields, List<String> loadReportFieldNames) {
+        return switch (name) {
+            case WireNames.ENDPOINT_LIST -> endpointList(fields);
+            case WireNames.REQUEST -> request(fields);
+            case WireNames.ATTEMPT_OUTCOME -> attemptOutcome(fields, loadReportFieldNames);
+            case WireNames.STREAM_STARTED -> streamStarted(fields);
+            case WireNames.HEALTH_CHECK_OUTCOME -> healthCheckOutcome(fields, loadReportFieldNames);
+            case WireNames.REQUEST_EXPIRED -> requestExpired(fields);
+            case WireNames.GOSSIP_RECEIVED -> gossipReceived(fields);
+            case WireNames.TIMER_FIRED -> timerFired(fields);
+            default -> throw new SimulatorProtocolException("message '" + name + "' is unknown");
+        };
+    }
+
+    private InstanceEvent endpointList(FieldReader fields) {
+        EndpointListType type = WireNames.endpointListType(fields.integer());
+        // The list's version: changes come in order and without gaps, so that it is not needed.
+        fields.integerOr(0);
+        int page = (int) fields.integerOr(-1);
+        List<Endpoint> endpoints = type == EndpointListType.FAILED ? List.of() : pages.get(page);
+        return (now, balancer) -> balancer.onEndpointList(now, type, endpoints);
+    }
+
+    private static InstanceEvent request(FieldReader fields) {
+        String id = fields.text();
+        long key = fields.integerOr(NO_KEY);
+        boolean retry = fields.flag();
+        boolean write = fields.flag();
+        double costHintMicros = fields.decimalOr(0);
+        long remainingMicros = fields.integer();
+        String tenant = fields.textOrNull();
+        String requestClass = fields.text();
+        Request request = new Request(id, key, retry, write, costHintMicros, remainingMicros, tenant, requestClass);
+        return (now, balancer) -> balancer.onRequest(now, request);
+    }
+
+    private static InstanceEvent attemptOutcome(FieldReader fields, List<String> loadReportFieldNames) {
+        String requestId = fields.text();
+        int attempt = (int) fields.integer();
+        String endpointId = fields.text();
+        AttemptOutcome outcome = WireNames.attemptOutcome(fields.text());
+        long latencyMicros = fields.integerOr(0);
+        boolean requestDone = fields.flag();
+        LoadReport loadReport = loadReport(fields.textOrNull(), loadReportFieldNames);
+        AttemptResult result =
+                new AttemptResult(requestId, attempt, endpointId, outcome, latencyMicros, requestDone, loadReport);
+        return (now, balancer) -> balancer.onAttemptOutcome(now, result);
+    }
+
+    private static InstanceEvent streamStarted(FieldReader fields) {
+        String requestId = fields.text();
+        int attempt = (int) fields.integer();
+        long latencyMicros = fields.integerOr(0);
+        String endpointId = fields.text();
+        return (now, balancer) -> balancer.onStreamStart(now, requestId, attempt, endpointId, latencyMicros);
+    }
+
+    private static InstanceEvent healthCheckOutcome(FieldReader fields, List<String> loadReportFieldNames) {
+        String endpointId = fields.text();
+        AttemptOutcome outcome = WireNames.attemptOutcome(fields.text());
+        long latencyMicros = fields.integerOr(0);
+        LoadReport loadReport = loadReport(fields.textOrNull(), loadReportFieldNames);
+        return (now, balancer) -> balancer.onHealthCheck(now, endpointId, outcome, latencyMicros, loadReport);
+    }
+
+    private static InstanceEvent requestExpired(FieldReader fields) {
+        String requestId = fields.text();
+        return (now, balancer) -> balancer.onRequestExpired(now, requestId);
+    }
+
+    private static InstanceEvent gossipReceived(FieldReader fields) {
+        int sidecarIndex = (int) fields.integer();
+        byte[] message = bytes(fields.textOrNull());
+        return (now, balancer) -> balancer.onGossip(now, sidecarIndex, message);
+    }
+
+    private static InstanceEvent timerFired(FieldReader fields) {
+        String timerName = fields.text();
+        return (now, balancer) -> balancer.onTimer(now, timerName);
+    }
+
+    private static byte[] bytes(String base64) {
+        try {
+            return base64 == null ? new byte[0] : Base64.getDecoder().decode(base64);
+        } catch (IllegalArgumentException e) {
+            throw new SimulatorProtocolException("'" + base64 + "' is not base64");
+        }
+    }
+
+    /** Null where the endpoint sent no report; {@code row} holds the values joined with commas. */
+    private static LoadReport loadReport(String row, List<String> fieldNames) {
+        if (row == null) {
+            return null;
+        }
+        LoadReportFields fields = new LoadReportFields();
+        String[] values = row.split(",");
+        for (int i = 0; i < values.length && i < fieldNames.size(); i++) {
+            try {
+                fields.put(fieldNames.get(i), values[i].equals(WireNames.ABSENT) ? -1 : Double.parseDouble(values[i]));
+            } catch (NumberFormatException e) {
+                throw new SimulatorProtocolException("load report '" + row + "' holds a value that is no number");
+            }
+        }
+        return fields.report();
+    }
+}
--- a/src/main/java/loadbalancer/simulator/FieldReader.java
+++ b/src/main/java/loadbalancer/simulator/FieldReader.java
@@ -3,109 +3,135 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads one line of the wire field by field; {@code -} stands for an absent value. */
+/**
+ * Reads the fields of one line of the wire from left to right. Fields are separated by single spaces;
+ * {@link WireNames#ABSENT} stands for a value that is not given.
+ *
+ * <p>All methods throw {@link SimulatorProtocolException} if the line has no further field or the field is malformed.
+ */
 final class FieldReader {
+    /** Any decimal number of so many digits fits into a long. */
+    private static final int MAX_DIGITS = 18;
+    /** Whole numbers below this are exact as doubles. */
+    private static final double MAX_WHOLE_DECIMAL = 1e15;
+
+    private static final int MAX_SHOWN_CHARACTERS = 120;
+
     private final String line;
-    private int at;
+    private int position;
 
     FieldReader(String line) {
         this.line = line;
     }
 
-    boolean more() {
-        return at <= line.length() && !line.isEmpty();
-    }
-
-    /** The rest of the line as {@code path=value} pairs. */
-    Map<String, String> settings() {
-        Map<String, String> values = new HashMap<>();
-        while (more()) {
-            String pair = text();
-            int equals = pair.indexOf('=');
-            if (equals <= 0) {
-                throw new SimulatorProtocolException("setting '" + pair + "' is not of the form path=value");
-            }
-            values.put(pair.substring(0, equals), pair.substring(equals + 1));
-        }
-        return values;
+    private boolean hasMore() {
+        return position <= line.length() && !line.isEmpty();
     }
 
     String text() {
-        if (!more()) {
-            throw new SimulatorProtocolException("too few fields in '" + shown() + "'");
+        if (!hasMore()) {
+            throw new SimulatorProtocolException("too few fields in '" + shownLine() + "'");
         }
-        int space = line.indexOf(' ', at);
+        int space = line.indexOf(' ', position);
         int end = space < 0 ? line.length() : space;
-        String value = line.substring(at, end);
-        at = end + 1;
+        String value = line.substring(position, end);
+        position = end + 1;
         if (value.isEmpty()) {
-            throw new SimulatorProtocolException("empty field in '" + shown() + "'");
+            throw new SimulatorProtocolException("empty field in '" + shownLine() + "'");
         }
         return value;
     }
 
     /** The next field, or null where it is absent or the line has ended. */
     String textOrNull() {
-        if (!more()) {
+        if (!hasMore()) {
             return null;
         }
         String value = text();
-        return value.equals("-") ? null : value;
+        return value.equals(WireNames.ABSENT) ? null : value;
     }
 
-    long number() {
-        return parse(text());
+    long integer() {
+        return parseInteger(text());
     }
 
-    long numberOr(long absent) {
+    long integerOr(long absent) {
         String value = textOrNull();
-        return value == null ? absent : parse(value);
+        return value == null ? absent : parseInteger(value);
     }
 
-    double realOr(double absent) {
+    double decimalOr(double absent) {
         String value = textOrNull();
-        return value == null ? absent : real(value);
+        return value == null ? absent : parseDecimal(value);
     }
 
+    /** False where the field is absent. */
     boolean flag() {
         String value = textOrNull();
         return value != null && (value.equals("1") || value.equals("true"));
     }
 
-    private long parse(String value) {
-        int n = value.length();
-        long sum = 0;
-        int i = n > 1 && value.charAt(0) == '-' ? 1 : 0;
-        if (n - i > 18) {
-            throw new SimulatorProtocolException("'" + value + "' is no integer in '" + shown() + "'");
+    /** The rest of the line, which consists of {@code path=value} pairs, as values by path. */
+    Map<String, String> remainingPairs() {
+        Map<String, String> values = new HashMap<>();
+        while (hasMore()) {
+            String pair = text();
+            int equals = pair.indexOf('=');
+            if (equals <= 0) {
+                throw new SimulatorProtocolException("setting '" + pair + "' is not of the form path=value");
+            }
+            values.put(pair.substring(0, equals), pair.substring(equals + 1));
+        }
+        return values;
+    }
+
+    private long parseInteger(String value) {
+        int firstDigit = value.length() > 1 && value.charAt(0) == '-' ? 1 : 0;
+        if (value.length() - firstDigit > MAX_DIGITS) {
+            throw notAnInteger(value);
         }
-        for (int j = i; j < n; j++) {
-            char c = value.charAt(j);
-            if (c < '0' || c > '9') {
-                double d = real(value);
-                if (d == Math.rint(d) && Math.abs(d) < 1e15) {
-                    return (long) d;
-                }
-                throw new SimulatorProtocolException("'" + value + "' is no integer in '" + shown() + "'");
+        long magnitude = 0;
+        for (int i = firstDigit; i < value.length(); i++) {
+            char digit = value.charAt(i);
+            if (digit < '0' || digit > '9') {
+                return parseWholeDecimal(value);
             }
-            sum = sum * 10 + (c - '0');
+            magnitude = magnitude * 10 + (digit - '0');
+        }
+        return firstDigit == 1 ? -magnitude : magnitude;
+    }
+
+    /** An integer written as a decimal, such as {@code 3.0} or {@code 1e6}. */
+    private long parseWholeDecimal(String value) {
+        double number = parseDecimal(value);
+        if (number == Math.rint(number) && Math.abs(number) < MAX_WHOLE_DECIMAL) {
+            return (long) number;
         }
-        return i == 1 ? -sum : sum;
+        throw notAnInteger(value);
     }
 
-    private double real(String value) {
+    private double parseDecimal(String value) {
+        double number;
         try {
-            double d = Double.parseDouble(value);
-            if (Double.isFinite(d)) {
-                return d;
-            }
+            number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            // reported below
+            throw notANumber(value);
+        }
+        if (!Double.isFinite(number)) {
+            throw notANumber(value);
         }
-        throw new SimulatorProtocolException("'" + value + "' is no number in '" + shown() + "'");
+        return number;
+    }
+
+    private SimulatorProtocolException notAnInteger(String value) {
+        return new SimulatorProtocolException("'" + value + "' is no integer in '" + shownLine() + "'");
+    }
+
+    private SimulatorProtocolException notANumber(String value) {
+        return new SimulatorProtocolException("'" + value + "' is no number in '" + shownLine() + "'");
     }
 
-    private String shown() {
-        return line.length() > 120 ? line.substring(0, 120) + "..." : line;
+    private String shownLine() {
+        return line.length() > MAX_SHOWN_CHARACTERS ? line.substring(0, MAX_SHOWN_CHARACTERS) + "..." : line;
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/simulator/ReplyWriter.java
@@ -0,0 +1,96 @@
+package loadbalancer.simulator;
+
+import java.util.Base64;
+import loadbalancer.decision.LoadBalancerActions;
+
+/** Writes the actions of one instance into the reply. */
+final class ReplyWriter implements LoadBalancerActions {
+    private final String instance;
+    private final Reply reply;
+
+    ReplyWriter(String instance, Reply reply) {
+        this.instance = instance;
+        this.reply = reply;
+    }
+
+    private StringBuilder action(String name) {
+        return reply.action(instance, name);
+    }
+
+    @Override
+    public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
+        action(WireNames.SEND_ATTEMPT)
+                .append(' ')
+                .append(requestId)
+                .append(' ')
+                .append(endpointId)
+                .append(' ')
+                .append(deadlineMicros)
+                .append('\n');
+    }
+
+    @Override
+    public void reject(String requestId, long retryAfterMicros) {
+        action(WireNames.REJECT)
+                .append(' ')
+                .append(requestId)
+                .append(' ')
+                .append(retryAfterMicros)
+                .append('\n');
+    }
+
+    @Override
+    public void fail(String requestId) {
+        action(WireNames.FAIL).append(' ').append(requestId).append('\n');
+    }
+
+    @Override
+    public void cancelAttempt(String requestId, int attempt) {
+        action(WireNames.CANCEL_ATTEMPT)
+                .append(' ')
+                .append(requestId)
+                .append(' ')
+                .append(attempt)
+                .append('\n');
+    }
+
+    @Override
+    public void checkHealth(String endpointId) {
+        action(WireNames.CHECK_HEALTH).append(' ').append(endpointId).append('\n');
+    }
+
+    @Override
+    public void pollEndpoints() {
+        action(WireNames.SUBSCRIBE_TO_ENDPOINTS).append('\n');
+    }
+
+    @Override
+    public void sendGossip(int sidecarIndex, byte[] message) {
+        action(WireNames.SEND_GOSSIP)
+                .append(' ')
+                .append(sidecarIndex)
+                .append(' ')
+                .append(Base64.getEncoder().encodeToString(message))
+                .append('\n');
+    }
+
+    @Override
+    public void closeIdleConnections(String endpointId) {
+        action(WireNames.CLOSE_IDLE_CONNECTIONS).append(' ').append(endpointId).append('\n');
+    }
+
+    @Override
+    public void startTimer(String timerName, long delayMicros) {
+        action(WireNames.START_TIMER)
+                .append(' ')
+                .append(timerName)
+                .append(' ')
+                .append(delayMicros)
+                .append('\n');
+    }
+
+    @Override
+    public void log(String text) {
+        action(WireNames.LOG).append(' ').append(text).append('\n');
+    }
+}
--- a/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
@@ -1,10 +1,13 @@
 package loadbalancer.simulator;
 
-/** Input that does not follow the wire; the message is meant for a person. */
-public final class SimulatorProtocolException extends RuntimeException {
+/**
+ * Input that does not follow the wire's syntax or order. The host ends with it, since what follows can't be
+ * interpreted. The message is one line that shows the offending part.
+ */
+final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public SimulatorProtocolException(String message) {
+    SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/simulator/WireNames.java
@@ -0,0 +1,84 @@
+package loadbalancer.simulator;
+
+import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.EndpointListType;
+import loadbalancer.decision.EndpointState;
+
+/** The one map between names and codes of the simulator's wire and the terms of the code. */
+final class WireNames {
+    // Frames of batches and replies.
+    static final String BATCH_START = "MARK";
+    static final String BATCH_END = "END";
+    static final String REPLY_END = "OK";
+    /** The instance of the events that follow. */
+    static final String EVENT_INSTANCE = "INSTANCE";
+    /** The instance of the actions that follow. */
+    static final String ACTION_INSTANCE = "BY";
+
+    // Events.
+    static final String INSTANCE_STARTED = "ENLIST";
+    static final String INSTANCE_STOPPED = "DOWN";
+    /** Numbered list of endpoints that {@link #ENDPOINT_LIST} refers to; belongs to no instance. */
+    static final String ENDPOINT_PAGE = "PAGE";
+
+    static final String ENDPOINT_ROW = "ROW";
+    static final String ENDPOINT_LIST = "ANNOUNCE";
+    static final String REQUEST = "ACCEPT";
+    static final String ATTEMPT_OUTCOME = "REPORT_BACK";
+    static final String STREAM_STARTED = "OPENED";
+    static final String HEALTH_CHECK_OUTCOME = "PROBED";
+    static final String REQUEST_EXPIRED = "EXPIRED";
+    static final String GOSSIP_RECEIVED = "MAIL";
+    static final String TIMER_FIRED = "DEADLINE_HIT";
+
+    // Actions.
+    static final String SEND_ATTEMPT = "ASSIGN";
+    static final String REJECT = "DENY";
+    static final String FAIL = "FAIL";
+    static final String CANCEL_ATTEMPT = "REVOKE";
+    static final String CHECK_HEALTH = "SAMPLE";
+    static final String SUBSCRIBE_TO_ENDPOINTS = "TRACK 1";
+    static final String SEND_GOSSIP = "WRITE_PEER";
+    static final String CLOSE_IDLE_CONNECTIONS = "LET_GO";
+    static final String START_TIMER = "SCHEDULE";
+    static final String LOG = "TRACE";
+    static final String INSTANCE_FAILED = "DIE";
+
+    /** Stands for a value that is not given. */
+    static final String ABSENT = "-";
+
+    private WireNames() {}
+
+    static AttemptOutcome attemptOutcome(String name) {
+        return switch (name) {
+            case "GOOD" -> AttemptOutcome.OK;
+            case "BAD" -> AttemptOutcome.ERROR;
+            case "FULL" -> AttemptOutcome.REJECTED;
+            case "LATE" -> AttemptOutcome.TIMEOUT;
+            case "NOCONN" -> AttemptOutcome.CONNECT_FAILED;
+            case "RST" -> AttemptOutcome.RESET;
+            case "CXL" -> AttemptOutcome.CANCELLED;
+            case "NOP" -> AttemptOutcome.NOT_SENT;
+            default -> throw new SimulatorProtocolException("outcome '" + name + "' is unknown");
+        };
+    }
+
+    static EndpointListType endpointListType(long code) {
+        return switch ((int) code) {
+            case 0 -> EndpointListType.FULL;
+            case 2 -> EndpointListType.DELTA;
+            case 3 -> EndpointListType.FAILED;
+            case 4 -> EndpointListType.CACHED;
+            default -> throw new SimulatorProtocolException("ANNOUNCE mode " + code + " is unknown");
+        };
+    }
+
+    static EndpointState endpointState(long code) {
+        return switch ((int) code) {
+            case 0 -> EndpointState.REMOVED;
+            case 1 -> EndpointState.READY;
+            case 2 -> EndpointState.DRAINING;
+            default -> throw new SimulatorProtocolException("endpoint state " + code + " is unknown");
+        };
+    }
+}
--- a/src/test/java/loadbalancer/simulator/SimulatorHostTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorHostTest.java
@@ -9,104 +9,113 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Batches are answered with the actions of their instances, and invalid input with one line. */
 class SimulatorHostTest {
-    private static final String FACTS = "me=0 balancers=2 zone=z kinds=k azs=z profiles.count=1 profiles.0.name=c "
+    /** Name of the decision module's timer that sends gossip. */
+    private static final String GOSSIP_TIMER = "tell";
+
+    private static final String SETTINGS = "me=0 balancers=2 zone=z kinds=k azs=z profiles.count=1 profiles.0.name=c "
             + "profiles.0.semantics=safe profiles.0.objective_us=300000 profiles.0.give_up_us=800000 "
             + "rules.drain_grace_us=500000 rules.cold_share=0.2 rules.ramp_time_us=9000000 rules.fall_multiple=3 "
             + "rules.fall_us=1000000 load_info.how=inline load_info.fields=pending,busy_reqs";
-    private static final String START = "MARK 1000\nINSTANCE sidecar-0\nENLIST 5 " + FACTS + " new.key=1\n"
-            + "PAGE 3 1\nROW z up_a k 0 - 1 1\nANNOUNCE 4 1 3\nEND\n";
+    private static final String UNKNOWN_SETTING = "new.key=1";
+    private static final String START = "MARK 1000\nINSTANCE sidecar-0\nENLIST 5 " + SETTINGS + " " + UNKNOWN_SETTING
+            + "\n" + "PAGE 3 1\nROW z up_a k 0 - 1 1\nANNOUNCE 4 1 3\nEND\n";
+    private static final String REQUEST = "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\nEND\n";
 
-    private int code;
-    private String out;
-    private String err;
+    private int exitStatus;
+    private String output;
+    private String errors;
 
     private void run(String input) throws Exception {
-        ByteArrayOutputStream o = new ByteArrayOutputStream();
-        ByteArrayOutputStream e = new ByteArrayOutputStream();
-        code = new SimulatorHost(
-                        new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), o, new PrintStream(e, true))
+        ByteArrayOutputStream outputBytes = new ByteArrayOutputStream();
+        ByteArrayOutputStream errorBytes = new ByteArrayOutputStream();
+        exitStatus = new SimulatorHost(
+                        new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+                        outputBytes,
+                        new PrintStream(errorBytes, true))
                 .run();
-        out = o.toString(StandardCharsets.UTF_8);
-        err = e.toString(StandardCharsets.UTF_8);
+        output = outputBytes.toString(StandardCharsets.UTF_8);
+        errors = errorBytes.toString(StandardCharsets.UTF_8);
     }
 
-    private void refused(String input, String because) throws Exception {
+    private void assertInvalid(String input, String expectedPart) throws Exception {
         run(input);
-        assertEquals(1, code);
-        assertEquals(1, err.lines().count(), err);
-        assertTrue(err.contains(because), err);
+        assertEquals(1, exitStatus);
+        assertEquals(1, errors.lines().count(), errors);
+        assertTrue(errors.contains(expectedPart), errors);
     }
 
     @Test
-    void aRequestIsSentAndTheUnknownSettingSkipped() throws Exception {
-        run(START + "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\nEND\n");
-        assertEquals(0, code, err);
-        assertTrue(out.contains("BY sidecar-0\nASSIGN 0f up_a 802000\n"), out);
-        assertTrue(out.endsWith("OK\n"));
+    void requestIsForwardedAndUnknownSettingSkipped() throws Exception {
+        run(START + REQUEST);
+        assertEquals(0, exitStatus, errors);
+        assertTrue(output.contains("BY sidecar-0\nASSIGN 0f up_a 802000\n"), output);
+        assertTrue(output.endsWith("OK\n"));
     }
 
     @Test
-    void closingOnADrainAndAWordToAllPeersAreWritten() throws Exception {
-        for (boolean set : new boolean[] {true, false}) {
-            String start =
-                    set ? START.replace("new.key=1", "rules.close_on_drain_within_us=500000 limits.peers=true") : START;
-            run(start + "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\nEND\n"
+    void connectionCloseAndGossipToAllAreWritten() throws Exception {
+        for (boolean configured : new boolean[] {true, false}) {
+            String start = configured
+                    ? START.replace(UNKNOWN_SETTING, "rules.close_on_drain_within_us=500000 limits.peers=true")
+                    : START;
+            run(start + REQUEST
                     + "MARK 9000\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a GOOD 7000 1 0,1\nEND\n"
                     + "MARK 10000\nPAGE 4 1\nROW z up_a k 0 - 1 2\nINSTANCE sidecar-0\nANNOUNCE 2 2 4\n"
-                    + "DEADLINE_HIT tell\nEND\n");
-            if (set) {
-                assertEquals(0, code, err);
-                assertTrue(out.contains("LET_GO up_a\n"), out);
-                assertTrue(out.contains("WRITE_PEER -1 "), out);
+                    + "DEADLINE_HIT " + GOSSIP_TIMER + "\nEND\n");
+            if (configured) {
+                assertEquals(0, exitStatus, errors);
+                assertTrue(output.contains("LET_GO up_a\n"), output);
+                assertTrue(output.contains("WRITE_PEER -1 "), output);
             } else {
-                assertTrue(!out.contains("LET_GO"), out);
+                assertTrue(!output.contains("LET_GO"), output);
             }
         }
     }
 
     @Test
-    void anEmptyBatchIsAnswered() throws Exception {
+    void emptyBatchIsAnswered() throws Exception {
         run("MARK 7\nEND\n");
-        assertEquals("OK\n", out);
-        assertEquals(0, code);
+        assertEquals("OK\n", output);
+        assertEquals(0, exitStatus);
     }
 
     @Test
-    void outcomesAndLateWordsOfUnknownRequestsAreTaken() throws Exception {
+    void eventsOfUnknownRequestsAreAccepted() throws Exception {
         run(START + "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\n"
                 + "REPORT_BACK ff 0 up_x GOOD 5 1 -\nEXPIRED ee\nEND\n"
                 + "MARK 9000\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a GOOD 7000 1 0,1\nMAIL 1 AAAA\nEND\n");
-        assertEquals(0, code, err);
-        assertTrue(!out.contains("DIE"), out);
+        assertEquals(0, exitStatus, errors);
+        assertTrue(!output.contains("DIE"), output);
     }
 
     @Test
-    void malformedInputGetsOnePlainLine() throws Exception {
-        refused("HELLO\n", "MARK");
-        refused("MARK x\nEND\n", "no number");
-        refused("MARK 5\n", "ended within a batch");
-        refused("MARK 5\nINSTANCE sidecar-0\nACCEPT 1\nEND\n", "has not started");
-        refused("MARK 5\nACCEPT 1\nEND\n", "before any INSTANCE");
-        refused(START + "MARK 6\nINSTANCE sidecar-0\nDANCE\nEND\n", "unknown");
-        refused(START + "MARK 6\nINSTANCE sidecar-0\nACCEPT 0f\nEND\n", "too few fields");
-        refused(START + "MARK 6\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a FINE 5 1 -\nEND\n", "FINE");
-        refused(START + "MARK 6\nPAGE 1 2\nROW z a k 0 - 1 1\n", "ended within a PAGE");
-        refused("MARK 5\nINSTANCE sidecar-0\nENLIST 5 me=0\nEND\n", "is missing");
+    void invalidInputIsReportedInOneLine() throws Exception {
+        assertInvalid("HELLO\n", "MARK");
+        assertInvalid("MARK x\nEND\n", "no number");
+        assertInvalid("MARK 5\n", "ended within a batch");
+        assertInvalid("MARK 5\nINSTANCE sidecar-0\nACCEPT 1\nEND\n", "has not started");
+        assertInvalid("MARK 5\nACCEPT 1\nEND\n", "before any INSTANCE");
+        assertInvalid(START + "MARK 6\nINSTANCE sidecar-0\nDANCE\nEND\n", "unknown");
+        assertInvalid(START + "MARK 6\nINSTANCE sidecar-0\nACCEPT 0f\nEND\n", "too few fields");
+        assertInvalid(START + "MARK 6\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a FINE 5 1 -\nEND\n", "FINE");
+        assertInvalid(START + "MARK 6\nPAGE 1 2\nROW z a k 0 - 1 1\n", "ended within a PAGE");
+        assertInvalid("MARK 5\nINSTANCE sidecar-0\nENLIST 5 me=0\nEND\n", "is missing");
     }
 
     @Test
-    void anErrorOfTheModuleIsReportedWithItsCause() throws Exception {
+    void exceptionOfTheModuleIsReportedWithItsCause() throws Exception {
         run(START + "MARK 6\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - nosuch\nEND\n");
-        assertEquals(0, code);
-        assertTrue(out.contains("DIE ") && out.contains("nosuch"), out);
+        assertEquals(0, exitStatus);
+        assertTrue(output.contains("DIE ") && output.contains("nosuch"), output);
     }
 
     @Test
-    void aKilledInstanceStartsAnew() throws Exception {
-        run(START + "MARK 6\nINSTANCE sidecar-0\nDOWN\nENLIST 6 " + FACTS + "\nANNOUNCE 4 1 3\n"
+    void stoppedInstanceStartsAnew() throws Exception {
+        run(START + "MARK 6\nINSTANCE sidecar-0\nDOWN\nENLIST 6 " + SETTINGS + "\nANNOUNCE 4 1 3\n"
                 + "ACCEPT 0f - 0 0 - 800000 - c\nEND\n");
-        assertEquals(0, code, err);
-        assertTrue(out.contains("ASSIGN 0f up_a"), out);
+        assertEquals(0, exitStatus, errors);
+        assertTrue(output.contains("ASSIGN 0f up_a"), output);
     }
 }
