--- a/src/main/java/loadbalancer/simulation/CsvRows.java
+++ b/src/main/java/loadbalancer/simulation/CsvRows.java
@@ -4,19 +4,39 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What was measured, a row each, as CSV. */
+/** Measured values as CSV, one row each, in the order in which they were added. */
 final class CsvRows {
-    static final String HEAD = "measure,sidecars,servers,value,unit,how";
+    private static final String HEADER = "measure,sidecars,servers,value,unit,how";
 
     private final List<String> rows = new ArrayList<>();
 
-    /** {@code how}: "module" is the real module alone, "model" a simulated fleet. */
-    void add(String measure, FleetShape of, double value, String unit, String how) {
+    /** What a value was measured on. */
+    enum Source {
+        /** A real decision module alone. */
+        MODULE("module"),
+        /** A simulated fleet. */
+        FLEET("model");
+
+        private final String csvName;
+
+        Source(String csvName) {
+            this.csvName = csvName;
+        }
+    }
+
+    void add(String measure, FleetShape shape, double value, String unit, Source source) {
         rows.add(String.format(
-                Locale.ROOT, "%s,%d,%d,%.4g,%s,%s", measure, of.sidecars(), of.servers(), value, unit, how));
+                Locale.ROOT,
+                "%s,%d,%d,%.4g,%s,%s",
+                measure,
+                shape.sidecarCount(),
+                shape.endpointCount(),
+                value,
+                unit,
+                source.csvName));
     }
 
     String csv() {
-        return HEAD + "\n" + String.join("\n", rows) + "\n";
+        return HEADER + "\n" + String.join("\n", rows) + "\n";
     }
 }
--- a/src/main/java/loadbalancer/simulation/EventQueue.java
+++ b/src/main/java/loadbalancer/simulation/EventQueue.java
@@ -2,41 +2,48 @@
 
 import java.util.PriorityQueue;
 
-/** One virtual clock and what happens on it, in order of time and, at one time, of its scheduling. */
+/**
+ * A virtual clock and the events scheduled on it. Events run in the order of their time and, at the same time, in the
+ * order in which they were scheduled, so that a simulation is deterministic. Not thread-safe.
+ */
 final class EventQueue {
-    private record Event(long atUs, long number, Runnable run) implements Comparable<Event> {
+    private record Event(long atMicros, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(number, other.number);
+            return atMicros != other.atMicros
+                    ? Long.compare(atMicros, other.atMicros)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long nowUs;
-    private long scheduled;
+    private long nowMicros;
+    private long scheduledCount;
 
-    EventQueue(long startUs) {
-        nowUs = startUs;
+    EventQueue(long startMicros) {
+        nowMicros = startMicros;
     }
 
-    /** Microseconds; only moves forward. */
-    long now() {
-        return nowUs;
+    /** The present time, which only moves forward. */
+    long nowMicros() {
+        return nowMicros;
     }
 
-    void after(long delayUs, Runnable run) {
-        events.add(new Event(nowUs + Math.max(0, delayUs), scheduled++, run));
+    /** Runs the action after the delay; a negative delay counts as none. */
+    void schedule(long delayMicros, Runnable action) {
+        events.add(new Event(nowMicros + Math.max(0, delayMicros), scheduledCount++, action));
     }
 
-    /** Plays all up to this time, and returns how many events that were. */
-    long playTo(long untilUs) {
-        long played = 0;
-        for (Event e; (e = events.peek()) != null && e.atUs <= untilUs; played++) {
-            events.poll();
-            nowUs = e.atUs;
-            e.run.run();
+    /** Runs all events up to and including this time; returns how many. */
+    long runUntil(long untilMicros) {
+        long count = 0;
+        while (!events.isEmpty() && events.peek().atMicros <= untilMicros) {
+            Event event = events.poll();
+            nowMicros = event.atMicros;
+            event.action.run();
+            count++;
         }
-        nowUs = untilUs;
-        return played;
+        nowMicros = untilMicros;
+        return count;
     }
 }
--- a/src/main/java/loadbalancer/simulation/FleetCosts.java
+++ b/src/main/java/loadbalancer/simulation/FleetCosts.java
@@ -2,10 +2,10 @@
 
 import java.util.stream.IntStream;
 
-/** What a simulated fleet of one shape says of words, of estimates and of how it is served, calm and after faults. */
+/** Measures gossip, rate estimates and served requests of a simulated fleet, undisturbed and after a mass restart. */
 final class FleetCosts {
-    /** A module says its estimates every 5 s: each has, shortly after that. */
-    private static final double SETTLED_S = 5.5;
+    /** Modules log their estimates every 5 s: after this time each has logged once. */
+    private static final double SETTLING_SECONDS = 5.5;
 
     private final FleetShape shape;
     private final CsvRows rows;
@@ -17,23 +17,27 @@
 
     void measure() {
         SimulatedFleet fleet = new SimulatedFleet(shape);
-        fleet.play(SETTLED_S);
-        long words = fleet.words();
-        long bytes = fleet.wordBytes();
-        rates(fleet, "calm");
-        rows.add("words sent by a sidecar", shape, words / SETTLED_S / shape.sidecars(), "1/s", "model");
-        rows.add("bytes sent by a sidecar", shape, bytes / SETTLED_S / shape.sidecars(), "B/s", "model");
-        rows.add("served in time (calm)", shape, fleet.servedPart(), "part", "model");
-        IntStream.range(0, shape.sidecars()).filter(i -> i % 10 < 7).forEach(fleet::restartSidecar);
-        fleet.play(SETTLED_S);
-        rates(fleet, "70 % restarted at once");
+        fleet.run(SETTLING_SECONDS);
+        long messages = fleet.gossipMessages();
+        long bytes = fleet.gossipBytes();
+        addRateErrors(fleet, "calm");
+        add("words sent by a sidecar", messages / SETTLING_SECONDS / shape.sidecarCount(), "1/s");
+        add("bytes sent by a sidecar", bytes / SETTLING_SECONDS / shape.sidecarCount(), "B/s");
+        add("served in time (calm)", fleet.servedRatio(), "part");
+        IntStream.range(0, shape.sidecarCount()).filter(i -> i % 10 < 7).forEach(fleet::restartSidecar);
+        fleet.run(SETTLING_SECONDS);
+        addRateErrors(fleet, "70 % restarted at once");
     }
 
-    private void rates(SimulatedFleet fleet, String when) {
-        double[] off = fleet.rateErrors();
-        if (off.length > 0) {
-            rows.add("fleet rate off in the median (" + when + ")", shape, off[off.length / 2], "part", "model");
-            rows.add("fleet rate off at worst (" + when + ")", shape, off[off.length - 1], "part", "model");
+    private void addRateErrors(SimulatedFleet fleet, String situation) {
+        double[] errors = fleet.rateEstimateErrors();
+        if (errors.length > 0) {
+            add("fleet rate off in the median (" + situation + ")", errors[errors.length / 2], "part");
+            add("fleet rate off at worst (" + situation + ")", errors[errors.length - 1], "part");
         }
     }
+
+    private void add(String measure, double value, String unit) {
+        rows.add(measure, shape, value, unit, CsvRows.Source.FLEET);
+    }
 }
--- a/src/main/java/loadbalancer/simulation/FleetShape.java
+++ b/src/main/java/loadbalancer/simulation/FleetShape.java
@@ -6,83 +6,103 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * What a simulated fleet is made of.
+ * What a simulated fleet consists of. The same shape gives the same history.
  *
- * @param sidecars 1 or more
- * @param servers 1 or more; of two cores each
- * @param load requests a second over all sidecars, as a part of what all servers can do when warm
- * @param unevenness the busiest tenth of the sidecars gets so many times the mean
- * @param listDelayUs a change reaches each sidecar after a time of its own, up to this
- * @param lostWords part of the peers' words that never arrive, 0 to 1
- * @param seed of all that is drawn; the same shape and seed give the same history
+ * @param sidecarCount 1 or more
+ * @param endpointCount 1 or more; each has {@link #CORES_PER_ENDPOINT} cores
+ * @param utilization rate of requests of all sidecars together, as a part of the endpoints' full capacity
+ * @param unevenness the busiest tenth of the sidecars gets this many times the mean rate
+ * @param maxNotificationDelayMicros a change of the endpoint list reaches each sidecar after a random time up to this
+ * @param gossipLossRatio part of the gossip messages that never arrive, 0 to 1
+ * @param seed seed of all random draws
  */
 record FleetShape(
-        int sidecars, int servers, double load, double unevenness, long listDelayUs, double lostWords, long seed) {
-    static final int CORES = 2;
-    /** Mean work of a request on one core, exponentially distributed. */
-    static final double WORK_US = 80_000;
+        int sidecarCount,
+        int endpointCount,
+        double utilization,
+        double unevenness,
+        long maxNotificationDelayMicros,
+        double gossipLossRatio,
+        long seed) {
+    static final int CORES_PER_ENDPOINT = 2;
+    /** Mean work of a request on one core; the work is distributed exponentially. */
+    static final double MEAN_WORK_MICROS = 80_000;
 
-    static final double COLD_SHARE = 0.2;
-    static final long RAMP_US = 16_000_000;
-    static final double FALL_MULTIPLE = 3;
-    static final long FALL_US = 2_000_000;
-    static final long DEADLINE_US = 1_500_000;
+    static final double SLOW_START_INITIAL_RATIO = 0.2;
+    static final long SLOW_START_MICROS = 16_000_000;
+    static final double OVERLOAD_MULTIPLE = 3;
+    static final long OVERLOAD_WINDOW_MICROS = 2_000_000;
+    static final long DEADLINE_MICROS = 1_500_000;
 
-    /** Requests a second that all servers can do when warm. */
-    double capacity() {
-        return servers * CORES * 1e6 / WORK_US;
+    static final String ZONE = "za";
+    static final String MACHINE_TYPE = "k";
+    /** The request class of the higher priority weight, with an idempotency key. */
+    static final String SUBMIT_CLASS = "submit";
+    /** The request class of the lower priority weight, not idempotent. */
+    static final String ISSUE_CLASS = "issue";
+
+    /** Requests a second that all endpoints can serve outside slow start. */
+    double capacityPerSecond() {
+        return endpointCount * CORES_PER_ENDPOINT * 1e6 / MEAN_WORK_MICROS;
     }
 
-    double rate() {
-        return load * capacity();
+    /** Requests a second of all sidecars. */
+    double requestsPerSecond() {
+        return utilization * capacityPerSecond();
     }
 
-    /** Requests a second of this sidecar. */
-    double rate(int sidecar) {
-        boolean busy = sidecar % 10 == 0;
-        int busyOnes = (sidecars + 9) / 10;
-        double mean = rate() / sidecars;
-        double rest = (sidecars - unevenness * busyOnes) / Math.max(1, sidecars - busyOnes);
-        return mean * (busy ? unevenness : rest);
+    /** Requests a second of this sidecar; every tenth one is among the busy ones. */
+    double requestsPerSecond(int sidecarIndex) {
+        boolean busy = sidecarIndex % 10 == 0;
+        int busyCount = (sidecarCount + 9) / 10;
+        double mean = requestsPerSecond() / sidecarCount;
+        double otherMultiple = (sidecarCount - unevenness * busyCount) / Math.max(1, sidecarCount - busyCount);
+        return mean * (busy ? unevenness : otherMultiple);
     }
 
-    /** As a sidecar reads them from its configuration, in the same words. */
-    LoadBalancerSettings settings(int me) {
-        Map<String, String> v = new HashMap<>();
-        v.put("me", "" + me);
-        v.put("balancers", "" + sidecars);
-        v.put("zone", "za");
-        v.put("azs", "za");
-        v.put("kinds", "k");
-        v.put("discovery", "pushed");
-        v.put("profiles.count", "2");
-        profile(v, 0, "submit", "keyed", 400_000, 10);
-        profile(v, 1, "issue", "unsafe", 800_000, 2);
-        v.put("limits.max_attempts", "4");
-        v.put("limits.second_copies", "true");
-        v.put("limits.peers", "true");
-        v.put("limits.cancelling", "true");
-        v.put("limits.retry_after", "true");
-        v.put("limits.max_retry_after_us", "2000000");
-        v.put("rules.drain_grace_us", "250000");
-        v.put("rules.cold_share", "" + COLD_SHARE);
-        v.put("rules.ramp_time_us", "" + RAMP_US);
-        v.put("rules.fall_multiple", "" + FALL_MULTIPLE);
-        v.put("rules.fall_us", "" + FALL_US);
-        v.put("tariffs.peer", "0.04");
-        v.put("tariffs.handshake", "0.02");
-        return new SettingsReader(v).read();
+    /** The settings of one sidecar, read as a sidecar reads them from its configuration. */
+    LoadBalancerSettings settings(int sidecarIndex) {
+        Map<String, String> values = new HashMap<>();
+        values.put("me", "" + sidecarIndex);
+        values.put("balancers", "" + sidecarCount);
+        values.put("zone", ZONE);
+        values.put("azs", ZONE);
+        values.put("kinds", MACHINE_TYPE);
+        values.put("discovery", "pushed");
+        values.put("profiles.count", "2");
+        putRequestClass(values, 0, SUBMIT_CLASS, "keyed", 400_000, 10);
+        putRequestClass(values, 1, ISSUE_CLASS, "unsafe", 800_000, 2);
+        values.put("limits.max_attempts", "4");
+        values.put("limits.second_copies", "true");
+        values.put("limits.peers", "true");
+        values.put("limits.cancelling", "true");
+        values.put("limits.retry_after", "true");
+        values.put("limits.max_retry_after_us", "2000000");
+        values.put("rules.drain_grace_us", "250000");
+        values.put("rules.cold_share", "" + SLOW_START_INITIAL_RATIO);
+        values.put("rules.ramp_time_us", "" + SLOW_START_MICROS);
+        values.put("rules.fall_multiple", "" + OVERLOAD_MULTIPLE);
+        values.put("rules.fall_us", "" + OVERLOAD_WINDOW_MICROS);
+        values.put("tariffs.peer", "0.04");
+        values.put("tariffs.handshake", "0.02");
+        return new SettingsReader(values).read();
     }
 
-    private static void profile(Map<String, String> v, int i, String name, String semantics, long aimUs, int worth) {
-        String p = "profiles." + i + ".";
-        v.put(p + "name", name);
-        v.put(p + "semantics", semantics);
-        v.put(p + "group", "cell");
-        v.put(p + "window_us", "6000000");
-        v.put(p + "objective_us", "" + aimUs);
-        v.put(p + "give_up_us", "" + DEADLINE_US);
-        v.put(p + "importance", "" + worth);
-        v.put(p + "late_worth", "0.2");
+    private static void putRequestClass(
+            Map<String, String> values,
+            int index,
+            String name,
+            String semantics,
+            long latencyObjectiveMicros,
+            int priorityWeight) {
+        String prefix = "profiles." + index + ".";
+        values.put(prefix + "name", name);
+        values.put(prefix + "semantics", semantics);
+        values.put(prefix + "group", "cell");
+        values.put(prefix + "window_us", "6000000");
+        values.put(prefix + "objective_us", "" + latencyObjectiveMicros);
+        values.put(prefix + "give_up_us", "" + DEADLINE_MICROS);
+        values.put(prefix + "importance", "" + priorityWeight);
+        values.put(prefix + "late_worth", "0.2");
     }
 }
--- a/src/main/java/loadbalancer/simulation/NoOpActions.java
+++ b/src/main/java/loadbalancer/simulation/NoOpActions.java
@@ -2,34 +2,34 @@
 
 import loadbalancer.decision.LoadBalancerActions;
 
-/** Actions that the models have nothing to do for: no probes, watches, connections or operators here. */
+/** Ignores every action. Subclasses override those that their model reacts to. */
 class NoOpActions implements LoadBalancerActions {
     @Override
-    public void sendAttempt(String request, String upstream, long untilUs) {}
+    public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {}
 
     @Override
-    public void reject(String request, long retryAfterUs) {}
+    public void reject(String requestId, long retryAfterMicros) {}
 
     @Override
-    public void fail(String request) {}
+    public void fail(String requestId) {}
 
     @Override
-    public void cancelAttempt(String request, int attempt) {}
+    public void cancelAttempt(String requestId, int attempt) {}
 
     @Override
-    public void checkHealth(String upstream) {}
+    public void checkHealth(String endpointId) {}
 
     @Override
     public void pollEndpoints() {}
 
     @Override
-    public void sendGossip(int peer, byte[] message) {}
+    public void sendGossip(int sidecarIndex, byte[] message) {}
 
     @Override
-    public void closeIdleConnections(String upstream) {}
+    public void closeIdleConnections(String endpointId) {}
 
     @Override
-    public void startTimer(String mark, long delayUs) {}
+    public void startTimer(String timerName, long delayMicros) {}
 
     @Override
     public void log(String text) {}
--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -15,91 +15,114 @@
 import loadbalancer.decision.Request;
 
 /**
- * What one module costs in a fleet of so many sidecars and servers: processor time of each kind of event, in a batch of
- * each, and heap. The module is the real one, warmed up; its words are those of other modules.
+ * Measures one decision module as it would run in a fleet of a given size: processor time of each kind of event, and
+ * heap. The module is the real one, warmed up, with gossip of other modules. Times are processor times of the calling
+ * thread in microseconds, the clock's own cost included ({@link #clockMicros}).
  */
 final class PolicyCosts {
-    private static final int BATCHES = 15;
+    private static final int BATCH_COUNT = 15;
     private static final int IN_FLIGHT = 20;
-    /** Of which the heap is taken, so that what the collector moves meanwhile weighs little. */
-    private static final int INSTANCES = 20;
-    /** Requests a second that come to the module measured: 180,000 over 2,400. */
-    private static final int RATE = 75;
+    /** Modules over which the heap is averaged, so that what the garbage collector moves meanwhile matters little. */
+    private static final int HEAP_MODULE_COUNT = 20;
+    /** Requests a second of the measured module: 180,000 over 2,400 sidecars. */
+    private static final int REQUESTS_PER_SECOND = 75;
 
-    private static final long RESOLVE_US = 100_000;
+    private static final int WARM_UP_REQUESTS = 3_000;
+    private static final int GOSSIP_EVERY_REQUESTS = 50;
+    /** The module solves its routing weights again after this time. */
+    private static final long RESOLVE_INTERVAL_MICROS = 100_000;
+
+    private static final double UTILIZATION = 0.6;
+    /** Name of the module's timer that sends gossip. */
+    private static final String GOSSIP_TIMER = "tell";
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final SplittableRandom random = new SplittableRandom(7);
     private final FleetShape shape;
-    private final List<Endpoint> list = new ArrayList<>();
-    private final List<byte[]> words = new ArrayList<>();
-    private final List<String[]> sends = new ArrayList<>();
-    private final LoadBalancingPolicy module;
+    private final List<Endpoint> endpoints = new ArrayList<>();
+    private final List<byte[]> gossipMessages = new ArrayList<>();
+    private final List<SentAttempt> inFlight = new ArrayList<>();
+    private final LoadBalancingPolicy policy;
     private final long heapBytes;
-    private long nowUs = 1_000_000_000L;
-    private long number;
-
-    PolicyCosts(int sidecars, int servers) {
-        heap();
-        shape = new FleetShape(sidecars, servers, 0.6, 1, 0, 0, 1);
-        for (int i = 0; i < servers; i++) {
-            list.add(new Endpoint("s" + i, "za", "k", i % 8, 0, 1, EndpointState.READY));
-        }
-        words(sidecars);
-        List<LoadBalancingPolicy> several = new ArrayList<>();
-        // The first ones also load what all share, and what was measured before goes while they are made.
-        long[] used = new long[2];
-        for (int half = 0; half < 2; half++) {
-            for (int i = 0; i < INSTANCES / 2; i++) {
-                several.add(module(sidecars));
-            }
-            used[half] = heap();
+    private long nowMicros = 1_000_000_000L;
+    private long requests;
+
+    private record SentAttempt(String requestId, String endpointId) {}
+
+    /** Remembers the attempts of the measured module, so that their outcomes can be reported. */
+    private class AttemptRecorder extends NoOpActions {
+        @Override
+        public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
+            inFlight.add(new SentAttempt(requestId, endpointId));
         }
-        heapBytes = (used[1] - used[0]) / (INSTANCES / 2);
-        module = several.get(0);
-        for (int i = 0; i < IN_FLIGHT; i++) {
-            request();
+    }
+
+    PolicyCosts(int sidecarCount, int endpointCount) {
+        usedHeapBytes();
+        shape = new FleetShape(sidecarCount, endpointCount, UTILIZATION, 1, 0, 0, 1);
+        for (int i = 0; i < endpointCount; i++) {
+            endpoints.add(
+                    new Endpoint("s" + i, FleetShape.ZONE, FleetShape.MACHINE_TYPE, i % 8, 0, 1, EndpointState.READY));
         }
-        for (int i = 0; i < 3_000; i++) {
-            nowUs += 1_000_000 / RATE;
-            request();
-            outcome();
-            if (i % 50 == 0) {
-                module.onTimer(nowUs, "tell");
-            }
+        collectGossip();
+        List<LoadBalancingPolicy> policies = new ArrayList<>();
+        // The first half also loads what all modules share, and garbage from before is collected meanwhile.
+        addPolicies(policies, HEAP_MODULE_COUNT / 2);
+        long firstHalfBytes = usedHeapBytes();
+        addPolicies(policies, HEAP_MODULE_COUNT / 2);
+        heapBytes = (usedHeapBytes() - firstHalfBytes) / (HEAP_MODULE_COUNT / 2);
+        policy = policies.get(0);
+        warmUp();
+    }
+
+    private void addPolicies(List<LoadBalancingPolicy> policies, int count) {
+        for (int i = 0; i < count; i++) {
+            policies.add(newPolicy());
         }
     }
 
-    private LoadBalancingPolicy module(int sidecars) {
-        LoadBalancingPolicy made = new LoadBalancingPolicy(shape.settings(0), 1, nowUs, new Keeping());
-        made.onEndpointList(nowUs, EndpointListType.FULL, list);
-        for (int peer = 1; peer < sidecars; peer++) {
-            made.onGossip(nowUs, peer, words.get(peer % words.size()));
+    private LoadBalancingPolicy newPolicy() {
+        LoadBalancingPolicy created = new LoadBalancingPolicy(shape.settings(0), 1, nowMicros, new AttemptRecorder());
+        created.onEndpointList(nowMicros, EndpointListType.FULL, endpoints);
+        for (int sender = 1; sender < shape.sidecarCount(); sender++) {
+            created.onGossip(nowMicros, sender, gossipMessages.get(sender % gossipMessages.size()));
         }
-        return made;
+        return created;
     }
 
-    /** Words as other modules of the same fleet tell them. */
-    private void words(int sidecars) {
-        Keeping actions = new Keeping() {
+    /** Collects gossip of another module of the same fleet. */
+    private void collectGossip() {
+        AttemptRecorder actions = new AttemptRecorder() {
             @Override
-            public void sendGossip(int peer, byte[] message) {
-                words.add(message);
+            public void sendGossip(int sidecarIndex, byte[] message) {
+                gossipMessages.add(message);
             }
         };
-        LoadBalancingPolicy other =
-                new LoadBalancingPolicy(shape.settings(Math.min(1, sidecars - 1)), 2, nowUs, actions);
-        other.onEndpointList(nowUs, EndpointListType.FULL, list);
+        int sidecarIndex = Math.min(1, shape.sidecarCount() - 1);
+        LoadBalancingPolicy other = new LoadBalancingPolicy(shape.settings(sidecarIndex), 2, nowMicros, actions);
+        other.onEndpointList(nowMicros, EndpointListType.FULL, endpoints);
         for (int i = 1; i <= 200; i++) {
-            other.onRequest(
-                    nowUs + i * 13_000L,
-                    new Request("o" + i, -1, false, false, 0, FleetShape.DEADLINE_US, null, "submit"));
+            other.onRequest(nowMicros + i * 13_000L, newRequest("o" + i, FleetShape.SUBMIT_CLASS));
+        }
+        other.onTimer(nowMicros + 2_700_000, GOSSIP_TIMER);
+    }
+
+    private void warmUp() {
+        for (int i = 0; i < IN_FLIGHT; i++) {
+            request();
+        }
+        for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+            nowMicros += 1_000_000 / REQUESTS_PER_SECOND;
+            request();
+            outcome();
+            if (i % GOSSIP_EVERY_REQUESTS == 0) {
+                policy.onTimer(nowMicros, GOSSIP_TIMER);
+            }
         }
-        other.onTimer(nowUs + 2_700_000, "tell");
     }
 
-    /** The least of several readings: what the ones before have left goes with a later collection at times. */
-    private static long heap() {
+    /** The least of several readings: some are taken before a collection has freed everything. */
+    private static long usedHeapBytes() {
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 5; i++) {
             System.gc();
@@ -110,111 +133,109 @@
         return least;
     }
 
+    private static Request newRequest(String id, String requestClass) {
+        return new Request(id, -1, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass);
+    }
+
     private void request() {
-        module.onRequest(
-                nowUs,
-                new Request(
-                        "r" + number++,
-                        -1,
-                        false,
-                        false,
-                        0,
-                        FleetShape.DEADLINE_US,
-                        null,
-                        number % 10 < 7 ? "submit" : "issue"));
-    }
-
-    /** Of a request drawn from those that are out, so that as many stay out. */
-    private void outcome() {
-        if (!sends.isEmpty()) {
-            String[] s = sends.remove(random.nextInt(sends.size()));
-            module.onAttemptOutcome(
-                    nowUs, new AttemptResult(s[0], 0, s[1], AttemptOutcome.OK, (long) FleetShape.WORK_US, true, null));
-        }
+        String id = "r" + requests++;
+        String requestClass = requests % 10 < 7 ? FleetShape.SUBMIT_CLASS : FleetShape.ISSUE_CLASS;
+        policy.onRequest(nowMicros, newRequest(id, requestClass));
     }
 
-    /** The median over the batches of the processor time of one run in microseconds. */
-    private double each(int runs, Runnable before, Runnable run) {
-        double[] batches = new double[BATCHES];
-        for (int b = 0; b < BATCHES; b++) {
-            long ns = 0;
-            for (int i = 0; i < runs; i++) {
-                before.run();
-                long from = threads.getCurrentThreadCpuTime();
-                run.run();
-                ns += threads.getCurrentThreadCpuTime() - from;
+    /** Reports the outcome of a random attempt in flight, so that their number stays the same. */
+    private void outcome() {
+        if (inFlight.isEmpty()) {
+            return;
+        }
+        SentAttempt attempt = inFlight.remove(random.nextInt(inFlight.size()));
+        AttemptResult result = new AttemptResult(
+                attempt.requestId,
+                0,
+                attempt.endpointId,
+                AttemptOutcome.OK,
+                (long) FleetShape.MEAN_WORK_MICROS,
+                true,
+                null);
+        policy.onAttemptOutcome(nowMicros, result);
+    }
+
+    /** The median over the batches of the mean processor time of one run of {@code measured}. */
+    private double medianMicros(int runsPerBatch, Runnable preparation, Runnable measured) {
+        double[] batchMicros = new double[BATCH_COUNT];
+        for (int batch = 0; batch < BATCH_COUNT; batch++) {
+            long nanos = 0;
+            for (int i = 0; i < runsPerBatch; i++) {
+                preparation.run();
+                long startNanos = threads.getCurrentThreadCpuTime();
+                measured.run();
+                nanos += threads.getCurrentThreadCpuTime() - startNanos;
             }
-            batches[b] = ns / 1e3 / runs;
+            batchMicros[batch] = nanos / 1e3 / runsPerBatch;
         }
-        Arrays.sort(batches);
-        return batches[BATCHES / 2];
+        Arrays.sort(batchMicros);
+        return batchMicros[BATCH_COUNT / 2];
+    }
+
+    private void advance(long micros) {
+        nowMicros += micros;
+    }
+
+    private void outcomeAndAdvance(long micros) {
+        outcome();
+        advance(micros);
     }
 
-    /** The clock's own cost, to be taken off the others. */
-    double clockUs() {
-        return each(200, () -> {}, () -> {});
+    /** The cost of reading the clock, which has to be subtracted from the other times. */
+    double clockMicros() {
+        return medianMicros(200, () -> {}, () -> {});
     }
 
-    /** A request between two re-solves. */
-    double requestUs() {
-        return each(
-                20,
-                () -> {
-                    outcome();
-                    nowUs += 1_000;
-                },
-                this::request);
+    /** A request that finds the routing weights recent. */
+    double requestMicros() {
+        return medianMicros(20, () -> outcomeAndAdvance(1_000), this::request);
     }
 
-    double outcomeUs() {
-        return each(20, this::request, this::outcome);
+    /**
+     * A request that finds the routing weights old and has them solved again, which happens ten times a second at most.
+     */
+    double resolveMicros() {
+        return medianMicros(20, () -> outcomeAndAdvance(RESOLVE_INTERVAL_MICROS), this::request);
     }
 
-    /** A request that finds the shares old: with the re-solve, of which there are ten a second at the most. */
-    double resolveUs() {
-        return each(
-                20,
-                () -> {
-                    outcome();
-                    nowUs += RESOLVE_US;
-                },
-                this::request);
+    double outcomeMicros() {
+        return medianMicros(20, this::request, this::outcome);
     }
 
-    double wordUs() {
-        int[] peer = new int[1];
-        return each(
+    /** One gossip message received, each from another sidecar than the one before. */
+    double gossipMicros() {
+        int[] sender = new int[1];
+        return medianMicros(
                 200,
-                () -> peer[0] = 1 + peer[0] % (shape.sidecars() - 1),
-                () -> module.onGossip(nowUs, peer[0], words.get(0)));
+                () -> sender[0] = 1 + sender[0] % (shape.sidecarCount() - 1),
+                () -> policy.onGossip(nowMicros, sender[0], gossipMessages.get(0)));
     }
 
-    double deltaUs() {
-        return each(
-                20,
-                () -> nowUs += 10_000,
-                () -> module.onEndpointList(
-                        nowUs, EndpointListType.DELTA, List.of(list.get(random.nextInt(list.size())))));
+    /** An endpoint list with one changed entry. */
+    double deltaMicros() {
+        return medianMicros(20, () -> advance(10_000), () -> {
+            Endpoint changed = endpoints.get(random.nextInt(endpoints.size()));
+            policy.onEndpointList(nowMicros, EndpointListType.DELTA, List.of(changed));
+        });
     }
 
-    double wholeListUs() {
-        return each(5, () -> nowUs += 10_000, () -> module.onEndpointList(nowUs, EndpointListType.FULL, list));
+    double fullListMicros() {
+        return medianMicros(
+                5, () -> advance(10_000), () -> policy.onEndpointList(nowMicros, EndpointListType.FULL, endpoints));
     }
 
-    /** Settings read from their words and put in force. */
-    double settingsUs() {
-        return each(5, () -> nowUs += 10_000, () -> module.onSettings(nowUs, shape.settings(0)));
+    /** Settings read from text and put in force. */
+    double settingsMicros() {
+        return medianMicros(5, () -> advance(10_000), () -> policy.onSettings(nowMicros, shape.settings(0)));
     }
 
-    /** Of the module with its servers and peers, without requests. */
+    /** Heap of one module that knows its endpoints and other sidecars and has no requests. */
     long heapBytes() {
         return heapBytes;
     }
-
-    private class Keeping extends NoOpActions {
-        @Override
-        public void sendAttempt(String request, String upstream, long untilUs) {
-            sends.add(new String[] {request, upstream});
-        }
-    }
 }
--- a/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
@@ -5,83 +5,105 @@
 import loadbalancer.decision.Endpoint;
 import loadbalancer.decision.EndpointState;
 
-/** A check server: cores with one queue, cold after its start, and a count of what comes to it while it is. */
+/**
+ * A model of an endpoint: cores behind one queue, slow start after each restart, and a count of the requests that come
+ * during slow start, against the overload budget of the settings. Times are microseconds of the fleet's clock.
+ */
 final class SimulatedEndpoint {
     private final String id;
-    private final double[] freeAt = new double[FleetShape.CORES];
-    private final ArrayDeque<Long> coldSends = new ArrayDeque<>();
-    private long startedUs;
-    private double worstBeyondChance = Double.NEGATIVE_INFINITY;
-    private long sentCold;
-    private double couldCold;
-    private long countedUs;
+    private final double[] coreFreeAtMicros = new double[FleetShape.CORES_PER_ENDPOINT];
+    /** Arrival times of the last overload window. */
+    private final ArrayDeque<Long> recentArrivals = new ArrayDeque<>();
+
+    /** 0: started long ago, so that there was no slow start. */
+    private long startedMicros;
+
+    private double worstBudgetExcess = Double.NEGATIVE_INFINITY;
+    private long slowStartRequests;
+    private double slowStartCapacity;
+    private long countedUntilMicros;
 
     SimulatedEndpoint(String id) {
         this.id = id;
     }
 
-    Endpoint entry() {
-        return new Endpoint(id, "za", "k", 1, startedUs, 1, EndpointState.READY);
+    /** The endpoint's entry in the endpoint list. */
+    Endpoint listEntry() {
+        return new Endpoint(id, FleetShape.ZONE, FleetShape.MACHINE_TYPE, 1, startedMicros, 1, EndpointState.READY);
     }
 
-    /** A new process under the same id, with nothing to do, and cold. */
-    void restart(long now) {
-        startedUs = now;
-        countedUs = now;
-        Arrays.fill(freeAt, now);
-        coldSends.clear();
+    /** Replaces the process by a new one under the same id: idle and in slow start. */
+    void restart(long nowMicros) {
+        startedMicros = nowMicros;
+        countedUntilMicros = nowMicros;
+        Arrays.fill(coreFreeAtMicros, nowMicros);
+        recentArrivals.clear();
     }
 
-    private double warmth(double now) {
-        return startedUs == 0
-                ? 1
-                : Math.min(
-                        1,
-                        FleetShape.COLD_SHARE + (1 - FleetShape.COLD_SHARE) * (now - startedUs) / FleetShape.RAMP_US);
+    /** The part of its full capacity that the endpoint has at this time. */
+    private double capacityRatio(double atMicros) {
+        if (startedMicros == 0) {
+            return 1;
+        }
+        double initialRatio = FleetShape.SLOW_START_INITIAL_RATIO;
+        double ratio = initialRatio + (1 - initialRatio) * (atMicros - startedMicros) / FleetShape.SLOW_START_MICROS;
+        return Math.min(1, ratio);
     }
 
-    /** Takes a request of so much work and returns when it is done. */
-    long take(long now, double workUs) {
-        int core = 0;
-        for (int i = 1; i < freeAt.length; i++) {
-            core = freeAt[i] < freeAt[core] ? i : core;
+    /** Accepts a request and returns the time at which it will be answered. */
+    long accept(long nowMicros, double workMicros) {
+        int core = firstFreeCore();
+        double startMicros = Math.max(nowMicros, coreFreeAtMicros[core]);
+        coreFreeAtMicros[core] = startMicros + workMicros / capacityRatio(startMicros);
+        if (capacityRatio(nowMicros) < 1) {
+            countSlowStartRequest(nowMicros);
         }
-        double start = Math.max(now, freeAt[core]);
-        freeAt[core] = start + workUs / warmth(start);
-        if (warmth(now) < 1) {
-            count(now);
+        return (long) coreFreeAtMicros[core];
+    }
+
+    private int firstFreeCore() {
+        int first = 0;
+        for (int core = 1; core < coreFreeAtMicros.length; core++) {
+            first = coreFreeAtMicros[core] < coreFreeAtMicros[first] ? core : first;
         }
-        return (long) freeAt[core];
+        return first;
     }
 
-    /** N is what the settings allow at the window's start, when it could do least. */
-    private void count(long now) {
-        sentCold++;
-        couldCold += warmth(now) * FleetShape.CORES / FleetShape.WORK_US * (now - countedUs);
-        countedUs = now;
-        coldSends.add(now);
-        while (coldSends.peek() <= now - FleetShape.FALL_US) {
-            coldSends.poll();
+    /** The budget of a window counts the capacity at its start, where it is least. */
+    private void countSlowStartRequest(long nowMicros) {
+        slowStartRequests++;
+        slowStartCapacity += capacityRatio(nowMicros)
+                * FleetShape.CORES_PER_ENDPOINT
+                / FleetShape.MEAN_WORK_MICROS
+                * (nowMicros - countedUntilMicros);
+        countedUntilMicros = nowMicros;
+        recentArrivals.add(nowMicros);
+        while (recentArrivals.peek() <= nowMicros - FleetShape.OVERLOAD_WINDOW_MICROS) {
+            recentArrivals.poll();
         }
-        double n = FleetShape.FALL_MULTIPLE
-                * warmth(coldSends.peek())
-                * FleetShape.CORES
-                * FleetShape.FALL_US
-                / FleetShape.WORK_US;
-        worstBeyondChance = Math.max(worstBeyondChance, coldSends.size() - n - 2 * Math.sqrt(n) - 2);
+        double budget = FleetShape.OVERLOAD_MULTIPLE
+                * capacityRatio(recentArrivals.peek())
+                * FleetShape.CORES_PER_ENDPOINT
+                * FleetShape.OVERLOAD_WINDOW_MICROS
+                / FleetShape.MEAN_WORK_MICROS;
+        worstBudgetExcess = Math.max(worstBudgetExcess, recentArrivals.size() - budget - 2 * Math.sqrt(budget) - 2);
     }
 
-    /** Most requests in a window beyond N + 2 x root of N + 2, from which it falls; negative where it stayed below. */
-    double worstBeyondChance() {
-        return worstBeyondChance;
+    /**
+     * Most requests in an overload window beyond the budget N and an allowance for chance of 2 x root of N + 2. The
+     * endpoint would fail if this were positive; negative if all windows stayed below.
+     */
+    double worstBudgetExcess() {
+        return worstBudgetExcess;
     }
 
-    long sentCold() {
-        return sentCold;
+    /** Requests that came during slow start. */
+    long slowStartRequests() {
+        return slowStartRequests;
     }
 
-    /** Requests that it could have served while cold, up to the last one sent. */
-    double couldCold() {
-        return couldCold;
+    /** Requests that it could have served during slow start, up to the last one that came. */
+    double slowStartCapacity() {
+        return slowStartCapacity;
     }
 }
--- a/src/main/java/loadbalancer/simulation/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedFleet.java
@@ -5,34 +5,37 @@
 import java.util.SplittableRandom;
 import loadbalancer.decision.Endpoint;
 
-/** Sidecars, servers, their clients, discovery and the datagrams between peers, on one clock and from one seed. */
+/**
+ * Sidecars, endpoints, their clients, discovery and gossip on one virtual clock and with one source of random numbers.
+ * The order of the draws is part of a history; keep it when changing this class. Not thread-safe.
+ */
 final class SimulatedFleet {
-    private static final long START_US = 1_000_000_000L;
-    private static final long WORD_US = 2_000;
-    /** Of the worthier class; the rest are of the other. */
-    private static final double SUBMITS = 0.7;
+    private static final long START_MICROS = 1_000_000_000L;
+    private static final long GOSSIP_DELAY_MICROS = 2_000;
+    /** Part of the requests that are of {@link FleetShape#SUBMIT_CLASS}; the others are of the other class. */
+    private static final double SUBMIT_RATIO = 0.7;
 
     private final FleetShape shape;
-    private final EventQueue timeline = new EventQueue(START_US);
+    private final EventQueue events = new EventQueue(START_MICROS);
     private final SplittableRandom random;
-    private final List<SimulatedEndpoint> servers = new ArrayList<>();
+    private final List<SimulatedEndpoint> endpoints = new ArrayList<>();
     private final List<SimulatedSidecar> sidecars = new ArrayList<>();
-    private long taken;
-    private long served;
-    private long words;
-    private long wordBytes;
+    private long requests;
+    private long servedRequests;
+    private long gossipMessages;
+    private long gossipBytes;
 
     SimulatedFleet(FleetShape shape) {
         this.shape = shape;
         random = new SplittableRandom(shape.seed());
-        for (int i = 0; i < shape.servers(); i++) {
-            servers.add(new SimulatedEndpoint("s" + i));
+        for (int i = 0; i < shape.endpointCount(); i++) {
+            endpoints.add(new SimulatedEndpoint("s" + i));
         }
-        List<Endpoint> list = list();
-        for (int i = 0; i < shape.sidecars(); i++) {
+        List<Endpoint> endpointList = endpointList();
+        for (int i = 0; i < shape.sidecarCount(); i++) {
             sidecars.add(new SimulatedSidecar(this, i));
-            sidecars.get(i).start(list);
-            arrive(i);
+            sidecars.get(i).start(endpointList);
+            scheduleRequest(i);
         }
     }
 
@@ -40,97 +43,120 @@
         return shape;
     }
 
-    long now() {
-        return timeline.now();
+    long nowMicros() {
+        return events.nowMicros();
     }
 
-    /** Plays so many more seconds and returns the number of events. */
-    long play(double seconds) {
-        return timeline.playTo(now() + (long) (seconds * 1e6));
+    /** Runs the fleet for so many more seconds; returns the number of events. */
+    long run(double seconds) {
+        return events.runUntil(nowMicros() + (long) (seconds * 1e6));
     }
 
-    void after(long delayUs, Runnable run) {
-        timeline.after(delayUs, run);
+    void schedule(long delayMicros, Runnable action) {
+        events.schedule(delayMicros, action);
     }
 
-    private List<Endpoint> list() {
-        return servers.stream().map(SimulatedEndpoint::entry).toList();
+    private List<Endpoint> endpointList() {
+        return endpoints.stream().map(SimulatedEndpoint::listEntry).toList();
     }
 
-    private void arrive(int sidecar) {
-        double gapUs = -Math.log(1 - random.nextDouble()) * 1e6 / shape.rate(sidecar);
-        timeline.after((long) gapUs, () -> {
-            taken++;
-            sidecars.get(sidecar).request(random.nextDouble() < SUBMITS ? "submit" : "issue");
-            arrive(sidecar);
+    /** Schedules the next request of a Poisson stream, which schedules its successor. */
+    private void scheduleRequest(int sidecarIndex) {
+        double gapMicros = exponential() * 1e6 / shape.requestsPerSecond(sidecarIndex);
+        events.schedule((long) gapMicros, () -> {
+            requests++;
+            boolean submit = random.nextDouble() < SUBMIT_RATIO;
+            sidecars.get(sidecarIndex).request(submit ? FleetShape.SUBMIT_CLASS : FleetShape.ISSUE_CLASS);
+            scheduleRequest(sidecarIndex);
         });
     }
 
-    /** The server's process is another one from now on, under its id; each sidecar is told in its own time. */
-    void restartServer(int server) {
-        servers.get(server).restart(now());
-        Endpoint entry = servers.get(server).entry();
-        for (SimulatedSidecar s : sidecars) {
-            timeline.after((long) (random.nextDouble() * shape.listDelayUs()), () -> s.changed(entry));
+    /** A draw from the exponential distribution of mean 1. */
+    private double exponential() {
+        return -Math.log(1 - random.nextDouble());
+    }
+
+    /** Restarts the endpoint's process; each sidecar is notified after a delay of its own. */
+    void restartEndpoint(int endpointIndex) {
+        endpoints.get(endpointIndex).restart(nowMicros());
+        Endpoint entry = endpoints.get(endpointIndex).listEntry();
+        for (SimulatedSidecar sidecar : sidecars) {
+            long delayMicros = (long) (random.nextDouble() * shape.maxNotificationDelayMicros());
+            events.schedule(delayMicros, () -> sidecar.endpointChanged(entry));
         }
     }
 
-    void restartSidecar(int sidecar) {
-        sidecars.get(sidecar).start(list());
+    void restartSidecar(int sidecarIndex) {
+        sidecars.get(sidecarIndex).start(endpointList());
     }
 
-    /** Takes a request to the server and returns when it is answered. */
-    long serve(String server) {
-        double work = -Math.log(1 - random.nextDouble()) * FleetShape.WORK_US;
-        return servers.get(Integer.parseInt(server.substring(1))).take(now(), work);
+    /** Sends a request to the endpoint and returns the time at which it will be answered. */
+    long forward(String endpointId) {
+        double workMicros = exponential() * FleetShape.MEAN_WORK_MICROS;
+        int endpointIndex = Integer.parseInt(endpointId.substring(1));
+        return endpoints.get(endpointIndex).accept(nowMicros(), workMicros);
     }
 
-    void tell(int from, int to, byte[] word) {
-        for (int i = Math.max(0, to); i < (to < 0 ? shape.sidecars() : to + 1); i++) {
-            if (i == from) {
-                continue;
-            }
-            words++;
-            wordBytes += word.length;
-            if (random.nextDouble() >= shape.lostWords()) {
-                SimulatedSidecar peer = sidecars.get(i);
-                timeline.after(WORD_US, () -> peer.heard(from, word));
-            }
+    /** Sends gossip to one sidecar, or to all others where {@code receiver} is negative. */
+    void sendGossip(int sender, int receiver, byte[] message) {
+        if (receiver >= 0) {
+            sendGossipToOne(sender, receiver, message);
+            return;
+        }
+        for (int i = 0; i < shape.sidecarCount(); i++) {
+            sendGossipToOne(sender, i, message);
+        }
+    }
+
+    private void sendGossipToOne(int sender, int receiver, byte[] message) {
+        if (receiver == sender) {
+            return;
+        }
+        gossipMessages++;
+        gossipBytes += message.length;
+        if (random.nextDouble() >= shape.gossipLossRatio()) {
+            SimulatedSidecar sidecar = sidecars.get(receiver);
+            events.schedule(GOSSIP_DELAY_MICROS, () -> sidecar.gossipReceived(sender, message));
         }
     }
 
-    void served() {
-        served++;
+    void countServedRequest() {
+        servedRequests++;
     }
 
-    long taken() {
-        return taken;
+    /** Requests that clients have sent so far. */
+    long requests() {
+        return requests;
     }
 
-    /** The part of what was taken so far that was served within its time. */
-    double servedPart() {
-        return served / (double) Math.max(1, taken);
+    /** The part of the requests so far that was served before its deadline. */
+    double servedRatio() {
+        return servedRequests / (double) Math.max(1, requests);
     }
 
-    /** How far each sidecar that has said it takes the fleet's rate to be off the true one, as a part of it, sorted. */
-    double[] rateErrors() {
+    /**
+     * Relative errors of the sidecars' estimates of the fleet's rate, sorted; sidecars without an estimate are left
+     * out.
+     */
+    double[] rateEstimateErrors() {
         return sidecars.stream()
-                .mapToDouble(SimulatedSidecar::believedRate)
-                .filter(r -> r >= 0)
-                .map(r -> Math.abs(r / shape.rate() - 1))
+                .mapToDouble(SimulatedSidecar::estimatedFleetRate)
+                .filter(rate -> rate >= 0)
+                .map(rate -> Math.abs(rate / shape.requestsPerSecond() - 1))
                 .sorted()
                 .toArray();
     }
 
-    long words() {
-        return words;
+    /** Gossip messages sent so far, counted by receiver. */
+    long gossipMessages() {
+        return gossipMessages;
     }
 
-    long wordBytes() {
-        return wordBytes;
+    long gossipBytes() {
+        return gossipBytes;
     }
 
-    List<SimulatedEndpoint> servers() {
-        return servers;
+    List<SimulatedEndpoint> endpoints() {
+        return endpoints;
     }
 }
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -12,115 +12,116 @@
 import loadbalancer.decision.LoadBalancingPolicy;
 import loadbalancer.decision.Request;
 
-/** One real module and what stands for its process: nothing but the carrying of its decisions to the models. */
+/** A sidecar's process: a real decision module whose actions are carried to the models of the fleet. */
 final class SimulatedSidecar extends NoOpActions {
     private static final Pattern FLEET_RATE = Pattern.compile("^rate \\d+ of (\\d+) a second");
 
+    private static final double NO_ESTIMATE = -1;
+
     private final SimulatedFleet fleet;
-    private final int me;
-    private final Map<String, Integer> attempts = new HashMap<>();
-    private LoadBalancingPolicy module;
-    /** Timers and answers of a process that has ended find another number here. */
-    private int process;
+    private final int sidecarIndex;
+    /** Attempts so far of the requests in progress, by request id. */
+    private final Map<String, Integer> attemptCounts = new HashMap<>();
+
+    private LoadBalancingPolicy policy;
+    /** Number of the present process; timers and responses of an earlier one are dropped. */
+    private int processNumber;
 
     private long requests;
-    private double believedRate = -1;
+    private double estimatedFleetRate = NO_ESTIMATE;
 
-    SimulatedSidecar(SimulatedFleet fleet, int me) {
+    SimulatedSidecar(SimulatedFleet fleet, int sidecarIndex) {
         this.fleet = fleet;
-        this.me = me;
+        this.sidecarIndex = sidecarIndex;
     }
 
-    /** A new process: it knows the list that its start brings and nothing else. */
-    void start(List<Endpoint> known) {
-        process++;
-        attempts.clear();
-        believedRate = -1;
-        module = new LoadBalancingPolicy(
-                fleet.shape().settings(me), fleet.shape().seed() * 1_000_003 + me * 31L + process, fleet.now(), this);
-        module.onEndpointList(fleet.now(), EndpointListType.FULL, known);
+    /** Starts a new process, which knows this endpoint list and nothing of an earlier process. */
+    void start(List<Endpoint> endpointList) {
+        processNumber++;
+        attemptCounts.clear();
+        estimatedFleetRate = NO_ESTIMATE;
+        long seed = fleet.shape().seed() * 1_000_003 + sidecarIndex * 31L + processNumber;
+        policy = new LoadBalancingPolicy(fleet.shape().settings(sidecarIndex), seed, fleet.nowMicros(), this);
+        policy.onEndpointList(fleet.nowMicros(), EndpointListType.FULL, endpointList);
     }
 
-    void changed(Endpoint entry) {
-        module.onEndpointList(fleet.now(), EndpointListType.DELTA, List.of(entry));
+    void endpointChanged(Endpoint entry) {
+        policy.onEndpointList(fleet.nowMicros(), EndpointListType.DELTA, List.of(entry));
     }
 
-    void heard(int peer, byte[] word) {
-        module.onGossip(fleet.now(), peer, word);
+    void gossipReceived(int sender, byte[] message) {
+        policy.onGossip(fleet.nowMicros(), sender, message);
     }
 
+    /** A client sends a request of this class. */
     void request(String requestClass) {
-        String id = me + "-" + process + "-" + requests++;
-        attempts.put(id, 0);
-        module.onRequest(fleet.now(), new Request(id, -1, false, false, 0, FleetShape.DEADLINE_US, null, requestClass));
+        String id = sidecarIndex + "-" + processNumber + "-" + requests++;
+        attemptCounts.put(id, 0);
+        policy.onRequest(
+                fleet.nowMicros(),
+                new Request(id, -1, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass));
     }
 
-    /** Whatever comes of an action comes later, so none re-enters the module. */
-    private void later(long delayUs, Runnable run) {
-        int mine = process;
-        fleet.after(delayUs, () -> {
-            if (process == mine) {
-                run.run();
+    /** Runs the action after the delay unless the process has ended by then. Nothing re-enters the module this way. */
+    private void scheduleInProcess(long delayMicros, Runnable action) {
+        int scheduledBy = processNumber;
+        fleet.schedule(delayMicros, () -> {
+            if (processNumber == scheduledBy) {
+                action.run();
             }
         });
     }
 
     @Override
-    public void sendAttempt(String request, String upstream, long untilUs) {
-        int number = attempts.merge(request, 1, Integer::sum) - 1;
-        long sentUs = fleet.now();
-        long doneUs = fleet.serve(upstream);
-        boolean late = doneUs > untilUs;
-        long endUs = late ? untilUs : doneUs;
-        later(endUs - sentUs, () -> {
-            if (!late) {
-                attempts.remove(request);
-                fleet.served();
+    public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
+        int attempt = attemptCounts.merge(requestId, 1, Integer::sum) - 1;
+        long sentMicros = fleet.nowMicros();
+        long answeredMicros = fleet.forward(endpointId);
+        boolean timedOut = answeredMicros > deadlineMicros;
+        long latencyMicros = (timedOut ? deadlineMicros : answeredMicros) - sentMicros;
+        AttemptOutcome outcome = timedOut ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
+        AttemptResult result =
+                new AttemptResult(requestId, attempt, endpointId, outcome, latencyMicros, !timedOut, null);
+        scheduleInProcess(latencyMicros, () -> {
+            if (!timedOut) {
+                attemptCounts.remove(requestId);
+                fleet.countServedRequest();
             }
-            module.onAttemptOutcome(
-                    fleet.now(),
-                    new AttemptResult(
-                            request,
-                            number,
-                            upstream,
-                            late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
-                            endUs - sentUs,
-                            !late,
-                            null));
+            policy.onAttemptOutcome(fleet.nowMicros(), result);
         });
     }
 
     @Override
-    public void reject(String request, long retryAfterUs) {
-        attempts.remove(request);
+    public void reject(String requestId, long retryAfterMicros) {
+        attemptCounts.remove(requestId);
     }
 
     @Override
-    public void fail(String request) {
-        attempts.remove(request);
+    public void fail(String requestId) {
+        attemptCounts.remove(requestId);
     }
 
     @Override
-    public void sendGossip(int peer, byte[] message) {
-        fleet.tell(me, peer, message);
+    public void sendGossip(int receiver, byte[] message) {
+        fleet.sendGossip(sidecarIndex, receiver, message);
     }
 
     @Override
-    public void startTimer(String mark, long delayUs) {
-        later(delayUs, () -> module.onTimer(fleet.now(), mark));
+    public void startTimer(String timerName, long delayMicros) {
+        scheduleInProcess(delayMicros, () -> policy.onTimer(fleet.nowMicros(), timerName));
     }
 
-    /** The module's own line of estimates tells what it takes the fleet's rate for. */
+    /** Reads the module's estimate of the fleet's rate from the line that it logs regularly. */
     @Override
     public void log(String text) {
         Matcher rate = FLEET_RATE.matcher(text);
         if (rate.find()) {
-            believedRate = Double.parseDouble(rate.group(1));
+            estimatedFleetRate = Double.parseDouble(rate.group(1));
         }
     }
 
-    /** Requests a second of the whole fleet, as its module said last; negative before it said anything. */
-    double believedRate() {
-        return believedRate;
+    /** Requests a second of the whole fleet by the module's latest estimate; negative if there was none yet. */
+    double estimatedFleetRate() {
+        return estimatedFleetRate;
     }
 }
