--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# Makes the class archive that `run` starts from. A sidecar is started with the Java flags of `run`, rehearses with
-# itself, reads its configuration again and is stopped, so that all that serving needs is loaded; what it loaded then
-# goes into one archive with the JDK's own classes. Without an archive `run` only starts slower, so nothing here fails
-# the build.
+# Makes the class archive that `run` starts from. A sidecar is started with the Java flags of `run`, does its warm-up,
+# reloads its configuration and is stopped, so that all classes of serving are loaded; these go into one archive with
+# the JDK's own classes. Without an archive `run` only starts slower, so nothing here fails the build.
 cd "$(dirname "$0")/.." || exit 1
 archive=target/sidecar.jsa
 classes=target/sidecar.classes
+log=target/archive-sidecar.log
 rm -f "$archive" "$classes"
 run=$(sed -n 's/^run = "exec \(.*\)"$/\1/p' deploy/balancer.toml)
 recording=${run/-XX:SharedArchiveFile=$archive -Xshare:auto/-Xshare:off -XX:DumpLoadedClassList=$classes}
-BALANCER_CONFIG=deploy/rehearsal.json $recording 2>target/rehearsal.log &
+BALANCER_CONFIG=deploy/archive-configuration.json $recording 2>"$log" &
 sidecar=$!
 for _ in $(seq 200); do
-    grep -q ' ready after ' target/rehearsal.log && break
+    grep -qs '^load-balancer: ready ' "$log" && break
     kill -0 "$sidecar" 2>/dev/null || break
     sleep 0.1
 done
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -138,7 +138,7 @@
             end(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        boolean there = !asked && activeUs - openedUs < ReadTrackingEventLoop.FRESH_US;
+        boolean there = !asked && activeUs - openedUs < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
         asked = true;
         // Its time counts from its last byte, which came with this read, or earlier where the loop was late to read.
         Arrival arrival = new Arrival((FullHttpRequest) message, activeUs - reads.lateMicros(), there ? backlogUs : 0);
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import java.util.stream.Collectors;
 import loadbalancer.proxy.protocol.EndpointList;
 import loadbalancer.settings.LoadBalancerSettings;
+import loadbalancer.settings.RequestClass;
 
 /**
  * The configuration of one sidecar, as {@link SidecarConfigurationReader} reads it.
@@ -33,13 +33,18 @@
         Map<String, String> settingsText,
         LoadBalancerSettings settings) {
 
-    /** The limits that an operator compares with the needs of a deployment, for the log. */
+    /** The limits that an operator compares with the needs of a deployment, as keys and values for the log. */
     public String describeLimits() {
-        return descriptorLimit + " descriptors, "
-                + settings.requestClasses().stream()
-                        .map(c -> c.name() + " wanted within " + c.latencyObjectiveMicros() / 1000 + " ms of "
-                                + c.deadlineMicros() / 1000)
-                        .collect(Collectors.joining(", "));
+        StringBuilder limits = new StringBuilder("descriptor_limit=").append(descriptorLimit);
+        for (RequestClass requestClass : settings.requestClasses()) {
+            limits.append(" class=")
+                    .append(requestClass.name())
+                    .append(" latency_objective_millis=")
+                    .append(requestClass.latencyObjectiveMicros() / 1000)
+                    .append(" deadline_millis=")
+                    .append(requestClass.deadlineMicros() / 1000);
+        }
+        return limits.toString();
     }
 
     /** A copy with other addresses and endpoints, and without gossip. */
--- a/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
@@ -12,28 +12,29 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** How this program opens HTTP connections, to upstreams and to discovery alike. */
+/** Bootstraps of outgoing connections on an event loop. Addresses must be resolved: there is no name service. */
 public final class ClientBootstraps {
     private ClientBootstraps() {}
 
-    /** Each connection gets a handler of its own, which sees whole answers of at most {@code maxBody} bytes. */
-    public static Bootstrap http(EventLoop loop, int connectMs, int maxBody, Supplier<ChannelHandler> handler) {
-        return tcp(loop, connectMs, channel -> channel.pipeline()
-                .addLast(new HttpClientCodec(), new HttpObjectAggregator(maxBody), handler.get()));
+    /** For HTTP/1.1; each connection gets a new handler, which receives whole responses of bounded size. */
+    public static Bootstrap http(
+            EventLoop loop, int connectTimeoutMillis, int maxResponseBytes, Supplier<ChannelHandler> newHandler) {
+        return tcp(loop, connectTimeoutMillis, channel -> channel.pipeline()
+                .addLast(new HttpClientCodec(), new HttpObjectAggregator(maxResponseBytes), newHandler.get()));
     }
 
-    /** {@code equip} gives each new connection its handlers. */
-    public static Bootstrap tcp(EventLoop loop, int connectMs, Consumer<Channel> equip) {
+    /** For any protocol; {@code initializer} adds the handlers to each new channel. */
+    public static Bootstrap tcp(EventLoop loop, int connectTimeoutMillis, Consumer<Channel> initializer) {
         return new Bootstrap()
                 .group(loop)
                 .channelFactory(NioSocketChannel::new)
                 .disableResolver()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        equip.accept(channel);
+                        initializer.accept(channel);
                     }
                 });
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -1,59 +1,78 @@
 package loadbalancer.proxy.eventloop;
 
+import loadbalancer.proxy.observability.SidecarLog;
+
 /**
- * Tells why the event loop was late: the longest piece of work on it by its name, and what each thread of the process
- * ran and how long it waited for a processor. The threads are looked at only where a line is due, not with each tick.
+ * Explains in the log why the event loop was late: by its longest task, and by what each thread of the process ran and
+ * how long it waited for a processor. The threads are read only when a line is due. Used on the event loop only.
  */
 public final class EventLoopMonitor {
-    private static final long LATE_US = 100_000;
-    /** At most one line in this time: a loop that is late for long would be later by its log. */
-    private static final long QUIET_US = 1_000_000;
+    private static final long LATE_MICROS = 100_000;
+    /** Lines cost time themselves: a loop that is late for long gets no more than this. */
+    private static final long MIN_REPORT_INTERVAL_MICROS = 1_000_000;
+
+    private static final String NO_TASK = "none";
 
     private final MonotonicClock clock;
-    private ThreadTimes before;
-    private long beforeUs;
-    private String longest = "none";
-    private long longestUs;
-    private long toldUs;
+    /** Null before {@link #start}. */
+    private ThreadTimes baseline;
+
+    private long baselineMicros;
+    private String longestTask = NO_TASK;
+    private long longestTaskMicros;
+    private long lastReportMicros;
 
     public EventLoopMonitor(MonotonicClock clock) {
         this.clock = clock;
     }
 
-    /** From now on what the threads do is counted; on the loop, like all that follows. */
+    /** Allows reports, which count the threads' times from now on. */
     public void start() {
-        before = ThreadTimes.read();
-        beforeUs = clock.nowMicros();
+        baseline = ThreadTimes.read();
+        baselineMicros = clock.nowMicros();
     }
 
-    /** A late loop is told from now on by what the threads do from now on. */
+    /** Counts the threads' times from now on. */
     public void resetBaseline() {
-        before = before.again();
-        beforeUs = clock.nowMicros();
+        baseline = baseline.readAgain();
+        baselineMicros = clock.nowMicros();
     }
 
-    /** A piece of work on the loop is done that began then. */
-    public void taskFinished(String work, long sinceUs) {
-        long us = clock.nowMicros() - sinceUs;
-        if (us > longestUs) {
-            longestUs = us;
-            longest = work;
+    /** A task on the event loop is finished that began at {@code startMicros}. */
+    public void taskFinished(String task, long startMicros) {
+        long durationMicros = clock.nowMicros() - startMicros;
+        if (durationMicros > longestTaskMicros) {
+            longestTaskMicros = durationMicros;
+            longestTask = task;
         }
     }
 
-    /** With each tick, which came so late: null, or a line on what came since the last where that was late. */
-    public String tick(long lagUs) {
+    /**
+     * Ends an interval in which the longest task is looked for.
+     *
+     * @param lagMicros how late the periodic task was that calls this
+     * @return a line for the log; null where the loop was in time or was reported just before
+     */
+    public String checkLag(long lagMicros) {
         String line = null;
-        if (before != null && lagUs > LATE_US && clock.nowMicros() - toldUs > QUIET_US) {
-            toldUs = clock.nowMicros();
-            ThreadTimes now = before.again();
-            line = "the event loop was late by " + lagUs / 1000 + " ms; longest: " + longest + ", " + longestUs / 1000
-                    + " ms; in the last " + (toldUs - beforeUs) / 1000 + " ms " + now.since(before);
-            before = now;
-            beforeUs = toldUs;
+        if (baseline != null
+                && lagMicros > LATE_MICROS
+                && clock.nowMicros() - lastReportMicros > MIN_REPORT_INTERVAL_MICROS) {
+            line = report(lagMicros);
         }
-        longest = "none";
-        longestUs = 0;
+        longestTask = NO_TASK;
+        longestTaskMicros = 0;
+        return line;
+    }
+
+    private String report(long lagMicros) {
+        lastReportMicros = clock.nowMicros();
+        ThreadTimes current = baseline.readAgain();
+        String line = "event_loop_late lag_millis=" + lagMicros / 1000 + " longest_task="
+                + SidecarLog.quote(longestTask) + " longest_task_millis=" + longestTaskMicros / 1000
+                + " window_millis=" + (lastReportMicros - baselineMicros) / 1000 + current.describeSince(baseline);
+        baseline = current;
+        baselineMicros = lastReportMicros;
         return line;
     }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
@@ -3,29 +3,29 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * Keeps a failure to the piece of work in which it arose. An error as well as an exception: a stack that overflowed, a
- * class that could not be loaded or memory that ran out in one request ends that request, and a timer that runs again
- * and again must not stop because it failed once.
+ * Confines a failure to the task in which it arose. Catches errors as well as exceptions, as both may be caused by one
+ * request alone: a stack overflow, a class that can't be loaded, memory that ran out. Netty would end the task too, but
+ * a periodic one for good.
  */
 public final class FaultBarrier {
     private FaultBarrier() {}
 
-    /** Runs {@code work}; false where it failed, which is logged under {@code name}. */
-    public static boolean run(String name, Runnable work) {
+    /** Runs the task; returns false where it failed, and logs the failure under {@code taskName}. */
+    public static boolean run(String taskName, Runnable task) {
         try {
-            work.run();
+            task.run();
             return true;
         } catch (RuntimeException | Error e) {
-            log(name, e);
+            log(taskName, e);
             return false;
         }
     }
 
-    private static void log(String name, Throwable failure) {
+    private static void log(String taskName, Throwable failure) {
         try {
-            SidecarLog.error(name + " failed", failure);
+            SidecarLog.error("task_failed task=" + SidecarLog.quote(taskName), failure);
         } catch (RuntimeException | Error e) {
-            // Without the memory for a line the process goes on all the same.
+            // There may be no memory left for the line: the next task runs all the same.
             return;
         }
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -7,16 +7,16 @@
 import loadbalancer.decision.LoadBalancerActions;
 
 /**
- * The module and the one way in and out of it. What the module does during a call is kept until the call has returned:
- * no action re-enters it. An exception, the module's or a handler's, is logged and ends neither the program nor what
- * waits behind it.
+ * Holds the load balancer and makes all calls to it, one after the other. Its actions are deferred until the call has
+ * returned, and calls that actions lead to until all actions are done: no call ever re-enters the load balancer. A
+ * failure of a call or an action is logged and affects nothing behind it. Used on the event loop only.
  */
 public final class LoadBalancerExecutor {
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
     private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
-    private LoadBalancer module;
     private final MonotonicClock clock;
     private final EventLoopMonitor monitor;
+    private LoadBalancer loadBalancer;
     private boolean running;
 
     public LoadBalancerExecutor(MonotonicClock clock, EventLoopMonitor monitor) {
@@ -24,67 +24,76 @@
         this.monitor = monitor;
     }
 
-    /** {@code build} makes the module, which may act from its constructor on. */
-    public void start(Function<LoadBalancerActions, LoadBalancer> build, LoadBalancerActions executor) {
-        calls.add(() -> module = build.apply(later(executor)));
-        run();
+    /** Creates the load balancer, which may act from its constructor on; {@code executor} carries its actions out. */
+    public void start(Function<LoadBalancerActions, LoadBalancer> factory, LoadBalancerActions executor) {
+        calls.add(() -> loadBalancer = factory.apply(deferred(executor)));
+        runPending();
     }
 
-    /** {@code event} names the call in the log; {@code broken} runs where the module could not take it. */
-    public void submit(String event, Consumer<LoadBalancer> call, Runnable broken) {
+    /**
+     * Makes a call, at once unless one is being made.
+     *
+     * @param callName names the call in the log
+     * @param onFailure runs in place of the load balancer's actions where the call failed
+     */
+    public void submit(String callName, Consumer<LoadBalancer> call, Runnable onFailure) {
         calls.add(() -> {
-            long begunUs = clock.nowMicros();
-            if (!FaultBarrier.run("the module", () -> call.accept(module))) {
-                actions.add(broken);
+            long startMicros = clock.nowMicros();
+            if (!FaultBarrier.run(callName, () -> call.accept(loadBalancer))) {
+                actions.add(onFailure);
             }
-            monitor.taskFinished(event, begunUs);
+            monitor.taskFinished(callName, startMicros);
         });
         if (!running) {
-            run();
+            runPending();
         }
     }
 
-    private void run() {
+    private void runPending() {
         running = true;
         try {
             for (Runnable call; (call = calls.poll()) != null; ) {
                 call.run();
-                for (Runnable action; (action = actions.poll()) != null; ) {
-                    long begunUs = clock.nowMicros();
-                    FaultBarrier.run("an action", action);
-                    monitor.taskFinished("carrying out a decision", begunUs);
-                }
+                runActions();
             }
         } finally {
             running = false;
         }
     }
 
-    private LoadBalancerActions later(LoadBalancerActions executor) {
+    private void runActions() {
+        for (Runnable action; (action = actions.poll()) != null; ) {
+            long startMicros = clock.nowMicros();
+            FaultBarrier.run("an action", action);
+            monitor.taskFinished("an action", startMicros);
+        }
+    }
+
+    private LoadBalancerActions deferred(LoadBalancerActions executor) {
         return new LoadBalancerActions() {
             @Override
-            public void sendAttempt(String request, String upstream, long untilUs) {
-                actions.add(() -> executor.sendAttempt(request, upstream, untilUs));
+            public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
+                actions.add(() -> executor.sendAttempt(requestId, endpointId, deadlineMicros));
             }
 
             @Override
-            public void reject(String request, long retryAfterUs) {
-                actions.add(() -> executor.reject(request, retryAfterUs));
+            public void reject(String requestId, long retryAfterMicros) {
+                actions.add(() -> executor.reject(requestId, retryAfterMicros));
             }
 
             @Override
-            public void fail(String request) {
-                actions.add(() -> executor.fail(request));
+            public void fail(String requestId) {
+                actions.add(() -> executor.fail(requestId));
             }
 
             @Override
-            public void cancelAttempt(String request, int attempt) {
-                actions.add(() -> executor.cancelAttempt(request, attempt));
+            public void cancelAttempt(String requestId, int attempt) {
+                actions.add(() -> executor.cancelAttempt(requestId, attempt));
             }
 
             @Override
-            public void checkHealth(String upstream) {
-                actions.add(() -> executor.checkHealth(upstream));
+            public void checkHealth(String endpointId) {
+                actions.add(() -> executor.checkHealth(endpointId));
             }
 
             @Override
@@ -93,18 +102,18 @@
             }
 
             @Override
-            public void sendGossip(int peer, byte[] message) {
-                actions.add(() -> executor.sendGossip(peer, message));
+            public void sendGossip(int sidecarIndex, byte[] message) {
+                actions.add(() -> executor.sendGossip(sidecarIndex, message));
             }
 
             @Override
-            public void closeIdleConnections(String upstream) {
-                actions.add(() -> executor.closeIdleConnections(upstream));
+            public void closeIdleConnections(String endpointId) {
+                actions.add(() -> executor.closeIdleConnections(endpointId));
             }
 
             @Override
-            public void startTimer(String mark, long delayUs) {
-                actions.add(() -> executor.startTimer(mark, delayUs));
+            public void startTimer(String timerName, long delayMicros) {
+                actions.add(() -> executor.startTimer(timerName, delayMicros));
             }
 
             @Override
--- a/src/main/java/loadbalancer/proxy/eventloop/MonotonicClock.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/MonotonicClock.java
@@ -1,11 +1,14 @@
 package loadbalancer.proxy.eventloop;
 
-/** Module time: microseconds that only move forward, set once to Unix time so that upstreams' starts fit in. */
+/**
+ * The one clock of a sidecar: microseconds that never go back. Set to Unix time once, when it is created, so that its
+ * times can be compared with the start times of endpoints. Thread-safe.
+ */
 public final class MonotonicClock {
-    private final long unixUs = System.currentTimeMillis() * 1000;
-    private final long nanos = System.nanoTime();
+    private final long originUnixMicros = System.currentTimeMillis() * 1000;
+    private final long originNanos = System.nanoTime();
 
     public long nowMicros() {
-        return unixUs + (System.nanoTime() - nanos) / 1000;
+        return originUnixMicros + (System.nanoTime() - originNanos) / 1000;
     }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -13,38 +13,42 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An event loop of one thread that knows when it last read all of its sockets. An attempt begins only behind a whole
- * reading that started just before: in a loop that is late, a client's leaving waits in a socket that comes after the
- * one that decided the attempt. Costs a send up to {@link #MOST_MORE} iterations of the loop and no wait.
+ * An event loop of one thread that knows when it last read all of its sockets. In a loop that is late, a client's
+ * disconnect may still wait in one socket while an event of another one starts an attempt for it. So an attempt starts
+ * behind a read of all sockets that began shortly before ({@link #afterPendingReads}); this takes up to
+ * {@link #MAX_POSTPONEMENTS} iterations of the loop and never waits.
+ *
+ * <p>{@link #clock}, {@link #eventLoop} and {@link #shutDown} may be called from any thread, the rest on the event loop
+ * only.
  */
 public final class ReadTrackingEventLoop {
-    /** A client's leaving may be unseen for so long: a part of the 100 ms after which nothing may begin for it. */
-    public static final long FRESH_US = 25_000;
-    /** Where each iteration takes longer than that, waiting for a quick one would wait for ever. */
-    private static final int MOST_MORE = 2;
-    /** A loop that is less late than this is not late: its timers are as exact as the system's. */
-    private static final long LATE_LEAST_US = 20_000;
-    /** What is left after each tick of what was the longest lag: half of it after some twenty ticks. */
-    private static final int LAG_FADES_BY = 32;
+    /** How old the last read may be: a part of the 100 ms after a disconnect in which an attempt may still start. */
+    public static final long MAX_READ_AGE_MICROS = 25_000;
+    /** Where every iteration takes longer than that, waiting for a shorter one would never end. */
+    private static final int MAX_POSTPONEMENTS = 2;
+    /** Below this a timer is as exact as those of the system. */
+    private static final long MIN_LATE_MICROS = 20_000;
+    /** Part of the recent lag that is lost with each tick: half of it after some twenty ticks. */
+    private static final int LAG_DECAY_DIVISOR = 32;
 
-    private static final long NEVER = -1;
+    private static final long NO_DEADLINE = -1;
 
     private final MonotonicClock clock;
-    private final ArrayDeque<Runnable> begins = new ArrayDeque<>();
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private boolean due;
-    private int more;
-    /** When the last whole reading began. */
-    private long readUs;
-    /** When the loop was to wake at the latest, by its own clock; {@link #NEVER} where nothing was due. */
-    private long wakeNanos = NEVER;
+    private final ArrayDeque<Runnable> pendingStarts = new ArrayDeque<>();
+    private boolean startScheduled;
+    private int postponements;
+    /** When the last read of all sockets began. */
+    private long lastReadMicros;
+    /** When the loop had to wake up at the latest, by its own clock. */
+    private long wakeUpDeadlineNanos = NO_DEADLINE;
 
-    private long recentLagUs;
+    private long recentLagMicros;
 
     public ReadTrackingEventLoop(MonotonicClock clock) {
         this.clock = clock;
-        group = new MultiThreadIoEventLoopGroup(1, tracked(NioIoHandler.newFactory()));
+        group = new MultiThreadIoEventLoopGroup(1, trackingFactory(NioIoHandler.newFactory()));
         loop = group.next();
     }
 
@@ -56,63 +60,68 @@
         return loop;
     }
 
-    /** Ends the thread at once, with all that is open or scheduled on it. */
+    /** Ends the thread at once, with all channels and timers on it. */
     public void shutDown() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** Runs {@code begin} once what the sockets have by now has been read, on the loop, which alone may call this. */
-    public void afterPendingReads(Runnable begin) {
-        begins.add(begin);
-        if (!due) {
-            due = true;
-            // The ends of connections that a reading finds are told by tasks of their own: behind all of these.
-            loop.execute(() -> loop.execute(this::begin));
+    /** Runs {@code start} once all that the sockets hold by now has been read and handled. */
+    public void afterPendingReads(Runnable start) {
+        pendingStarts.add(start);
+        if (!startScheduled) {
+            startScheduled = true;
+            // A closed connection that a read finds is reported by a task of its own: this is to come behind it.
+            loop.execute(() -> loop.execute(this::runPendingStarts));
         }
     }
 
-    private void begin() {
-        if (clock.nowMicros() - readUs > FRESH_US && more++ < MOST_MORE) {
-            // Due at once, and yet only in the next iteration, behind its reading.
-            loop.schedule(this::begin, 1, TimeUnit.NANOSECONDS);
+    private void runPendingStarts() {
+        boolean readIsOld = clock.nowMicros() - lastReadMicros > MAX_READ_AGE_MICROS;
+        if (readIsOld && postponements++ < MAX_POSTPONEMENTS) {
+            // Due at once, but the loop reads its sockets before it runs a timer that is new.
+            loop.schedule(this::runPendingStarts, 1, TimeUnit.NANOSECONDS);
             return;
         }
-        due = false;
-        more = 0;
-        for (int left = begins.size(); left > 0; left--) {
-            FaultBarrier.run("the beginning of an attempt", begins.poll());
+        startScheduled = false;
+        postponements = 0;
+        // Starts that these lead to are for the next time.
+        for (int remaining = pendingStarts.size(); remaining > 0; remaining--) {
+            FaultBarrier.run("the start of an attempt", pendingStarts.poll());
         }
     }
 
-    /** When the last whole reading began, in module time: all that had come by then has been handled. */
+    /** When the last read of all sockets began: all that had come by then is handled. */
     public long lastReadMicros() {
-        return readUs;
+        return lastReadMicros;
     }
 
     /**
-     * How long what is read now may have waited in its socket: the time by which the loop is behind its timers. Of a
-     * loop that had no processor the sockets themselves tell nothing. Zero where the loop is in time.
+     * By how much the loop is behind its timers, 0 where it is in time: what is read now may have waited in its socket
+     * for so long, which the socket itself does not tell.
      */
     public long lateMicros() {
-        long us = wakeNanos == NEVER ? 0 : (loop.ticker().nanoTime() - wakeNanos) / 1000;
-        return us < LATE_LEAST_US ? 0 : us;
+        if (wakeUpDeadlineNanos == NO_DEADLINE) {
+            return 0;
+        }
+        long lateMicros = (loop.ticker().nanoTime() - wakeUpDeadlineNanos) / 1000;
+        return lateMicros < MIN_LATE_MICROS ? 0 : lateMicros;
     }
 
-    /** With each tick: by how much it was late. */
-    public void recordTick(long lagUs) {
-        recentLagUs = Math.max(lagUs, recentLagUs - recentLagUs / LAG_FADES_BY);
+    /** To be called by a periodic task, with the time by which it was late. */
+    public void recordLag(long lagMicros) {
+        recentLagMicros = Math.max(lagMicros, recentLagMicros - recentLagMicros / LAG_DECAY_DIVISOR);
     }
 
-    /** How late the loop was at most of late, fading with the ticks since. */
+    /** The largest recent lag, which decays with each periodic task. */
     public long recentLagMicros() {
-        return recentLagUs;
+        return recentLagMicros;
     }
 
-    private IoHandlerFactory tracked(IoHandlerFactory sockets) {
+    private IoHandlerFactory trackingFactory(IoHandlerFactory sockets) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
-                return new Reading(sockets.newHandler(executor));
+                return new TrackingIoHandler(sockets.newHandler(executor));
             }
 
             @Override
@@ -122,20 +131,20 @@
         };
     }
 
-    /** Notes when each whole reading began. */
-    private final class Reading implements IoHandler {
+    /** Records when each read of all sockets began; everything else is delegated. */
+    private final class TrackingIoHandler implements IoHandler {
         private final IoHandler sockets;
 
-        Reading(IoHandler sockets) {
+        TrackingIoHandler(IoHandler sockets) {
             this.sockets = sockets;
         }
 
         @Override
         public int run(IoHandlerContext context) {
-            long begunUs = clock.nowMicros();
-            wakeNanos = context.deadlineNanos();
+            long startMicros = clock.nowMicros();
+            wakeUpDeadlineNanos = context.deadlineNanos();
             int handled = sockets.run(context);
-            readUs = begunUs;
+            lastReadMicros = startMicros;
             return handled;
         }
 
--- a/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
@@ -9,91 +9,106 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * Processor time of each thread of this process and its time in the run queue, both in nanoseconds, as Linux accounts
- * for them in {@code /proc/self/task/ID/schedstat}. Where there are no such files nothing is known, and nothing is
- * told. The management beans of the JDK know no run queue, and loading them costs more than a tenth of a start.
+ * How long each thread of this process has run and has waited in the run queue, as Linux reports it in
+ * {@code /proc/self/task/ID/schedstat}; empty where there are no such files. The JDK's management beans don't know the
+ * run queue, and loading them takes more than a tenth of a start.
  */
 final class ThreadTimes {
-    private static final File THREADS = new File("/proc/self/task");
-    private static final long MILLI = 1_000_000;
-    private static final int MOST_TOLD = 6;
+    private static final File THREAD_DIRECTORY = new File("/proc/self/task");
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int MAX_DESCRIBED_THREADS = 6;
 
-    private record Times(long ranNanos, long queuedNanos) {}
+    /** Since the start of the thread. */
+    private record CpuTimes(long ranNanos, long waitedNanos) {
+        static final CpuTimes NONE = new CpuTimes(0, 0);
+    }
 
-    private record Spent(String thread, long ranMs, long queuedMs) {}
+    private record Usage(String thread, long ranMillis, long waitedMillis) {
+        long totalMillis() {
+            return ranMillis + waitedMillis;
+        }
+    }
 
-    private final Map<String, Times> byId = new HashMap<>();
-    /** A thread's name is read once: threads do not change theirs. */
-    private final Map<String, String> names;
+    private final Map<String, CpuTimes> timesById = new HashMap<>();
+    /** Shared by successive readings, as threads don't change their names. */
+    private final Map<String, String> namesById;
 
-    private ThreadTimes(Map<String, String> names) {
-        this.names = names;
+    private ThreadTimes(Map<String, String> namesById) {
+        this.namesById = namesById;
     }
 
     static ThreadTimes read() {
         return read(new HashMap<>());
     }
 
-    /** The figures of now; names that are known already are not read again. */
-    ThreadTimes again() {
-        return read(names);
+    /** The times of now; the names of threads that are known already are not read again. */
+    ThreadTimes readAgain() {
+        return read(namesById);
     }
 
-    private static ThreadTimes read(Map<String, String> names) {
-        ThreadTimes all = new ThreadTimes(names);
-        String[] ids = THREADS.list();
-        if (ids == null) {
-            return all;
+    private static ThreadTimes read(Map<String, String> namesById) {
+        ThreadTimes times = new ThreadTimes(namesById);
+        String[] threadIds = THREAD_DIRECTORY.list();
+        if (threadIds == null) {
+            return times;
         }
-        for (String id : ids) {
-            try {
-                String[] figures = text(id, "schedstat").split(" ");
-                all.byId.put(id, new Times(Long.parseLong(figures[0]), Long.parseLong(figures[1])));
-                if (!names.containsKey(id)) {
-                    names.put(id, text(id, "comm"));
-                }
-            } catch (IOException | RuntimeException e) {
-                // A thread that has just ended.
-                all.byId.remove(id);
-            }
+        for (String threadId : threadIds) {
+            times.readThread(threadId);
         }
-        names.keySet().retainAll(all.byId.keySet());
-        return all;
+        namesById.keySet().retainAll(times.timesById.keySet());
+        return times;
     }
 
-    private static String text(String id, String file) throws IOException {
-        try (FileInputStream in = new FileInputStream(new File(new File(THREADS, id), file))) {
-            return new String(in.readAllBytes(), StandardCharsets.US_ASCII).trim();
+    private void readThread(String threadId) {
+        try {
+            String[] fields = readFile(threadId, "schedstat").split(" ");
+            timesById.put(threadId, new CpuTimes(Long.parseLong(fields[0]), Long.parseLong(fields[1])));
+            if (!namesById.containsKey(threadId)) {
+                namesById.put(threadId, readFile(threadId, "comm"));
+            }
+        } catch (IOException | NumberFormatException | IndexOutOfBoundsException e) {
+            // The thread has just ended.
+            timesById.remove(threadId);
         }
     }
 
-    /** What the threads that did most have done since {@code before}; never empty. */
-    String since(ThreadTimes before) {
-        List<Spent> spent = new ArrayList<>();
-        byId.forEach((id, now) -> {
-            Times then = before.byId.getOrDefault(id, new Times(0, 0));
-            spent.add(new Spent(
-                    names.get(id),
-                    (now.ranNanos - then.ranNanos) / MILLI,
-                    (now.queuedNanos - then.queuedNanos) / MILLI));
-        });
-        spent.removeIf(s -> s.ranMs + s.queuedMs == 0);
-        if (spent.isEmpty()) {
-            return "no thread did anything";
+    private static String readFile(String threadId, String name) throws IOException {
+        File file = new File(new File(THREAD_DIRECTORY, threadId), name);
+        try (FileInputStream input = new FileInputStream(file)) {
+            return new String(input.readAllBytes(), StandardCharsets.US_ASCII).trim();
         }
-        spent.sort(Comparator.comparingLong((Spent s) -> s.ranMs + s.queuedMs).reversed());
+    }
+
+    /** The threads that ran or waited most since {@code earlier}, as keys and values with a space before each key. */
+    String describeSince(ThreadTimes earlier) {
         StringBuilder text = new StringBuilder();
-        for (Spent s : spent.subList(0, Math.min(MOST_TOLD, spent.size()))) {
-            text.append(text.length() == 0 ? "" : ", ")
-                    .append(s.thread)
-                    .append(" ran ")
-                    .append(s.ranMs)
-                    .append(" ms and waited ")
-                    .append(s.queuedMs)
-                    .append(" for a processor");
+        List<Usage> usages = usagesSince(earlier);
+        for (Usage usage : usages.subList(0, Math.min(MAX_DESCRIBED_THREADS, usages.size()))) {
+            text.append(" thread=")
+                    .append(SidecarLog.quote(usage.thread))
+                    .append(" ran_millis=")
+                    .append(usage.ranMillis)
+                    .append(" waited_millis=")
+                    .append(usage.waitedMillis);
         }
         return text.toString();
     }
+
+    /** The most active first, without those that did nothing. */
+    private List<Usage> usagesSince(ThreadTimes earlier) {
+        List<Usage> usages = new ArrayList<>();
+        timesById.forEach((threadId, now) -> {
+            CpuTimes before = earlier.timesById.getOrDefault(threadId, CpuTimes.NONE);
+            usages.add(new Usage(
+                    namesById.get(threadId),
+                    (now.ranNanos - before.ranNanos) / NANOS_PER_MILLI,
+                    (now.waitedNanos - before.waitedNanos) / NANOS_PER_MILLI));
+        });
+        usages.removeIf(usage -> usage.totalMillis() == 0);
+        usages.sort(Comparator.comparingLong(Usage::totalMillis).reversed());
+        return usages;
+    }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -21,12 +21,12 @@
         this.environment = environment;
         if (Signal.handle(new Signal("HUP"), signal -> onSignal()) == SignalHandler.SIG_IGN) {
             // Java leaves a signal ignored that was so when it was started, as by nohup: no handler changes that.
-            SidecarLog.info("SIGHUP is ignored by who started this program: no new configuration will be read");
+            SidecarLog.info("configuration_reload_disabled reason=\"SIGHUP was ignored when the process was started\"");
         }
     }
 
     private synchronized void onSignal() {
-        SidecarLog.info("asked to read the configuration again");
+        SidecarLog.info("configuration_reload_requested");
         reloadPending = true;
         reloadIfPending();
     }
@@ -46,7 +46,7 @@
         try {
             sidecar.applyConfiguration(SidecarConfigurationReader.reload(environment, sidecar.settings()));
         } catch (ConfigurationException e) {
-            SidecarLog.info("goes on as before: " + e.getMessage());
+            SidecarLog.info("configuration_rejected reason=" + SidecarLog.quote(e.getMessage()));
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -71,8 +71,8 @@
 
     private void recordLag(long lagMicros) {
         statistics.eventLoopLag(lagMicros);
-        eventLoop.recordTick(lagMicros);
-        String lateLine = monitor.tick(lagMicros);
+        eventLoop.recordLag(lagMicros);
+        String lateLine = monitor.checkLag(lagMicros);
         if (lateLine != null) {
             SidecarLog.info(lateLine);
         }
@@ -80,8 +80,8 @@
 
     private void logTotals() {
         long startMicros = clock.nowMicros();
-        String totals =
-                statistics.summary(requests.openRequests(), clients.openConnections(), upstreams.openConnections());
+        String totals = statistics.summarizeAndReset(
+                requests.openRequests(), clients.openConnections(), upstreams.openConnections());
         if (totals != null) {
             SidecarLog.info(totals);
             monitor.resetBaseline();
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -216,7 +216,7 @@
                     || !reloaded.gossipPeers().equals(configuration.gossipPeers())) {
                 configuration = reloaded;
                 applySettings(reloaded);
-                SidecarLog.info("new settings are in force: " + reloaded.describeLimits());
+                SidecarLog.info("configuration_applied " + reloaded.describeLimits());
             }
         });
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -24,7 +24,7 @@
             exitCode = startAndServe(environment);
         } catch (RuntimeException | Error e) {
             // Errors as well: the event loop's thread would keep a process alive that never becomes ready.
-            SidecarLog.error("can't start", e);
+            SidecarLog.error("start_failed", e);
         }
         SidecarLog.flush();
         return exitCode;
@@ -38,7 +38,7 @@
         try {
             configuration = SidecarConfigurationReader.read(environment);
         } catch (ConfigurationException e) {
-            SidecarLog.info(e.getMessage());
+            SidecarLog.info("configuration_invalid reason=" + SidecarLog.quote(e.getMessage()));
             return EXIT_CONFIGURATION_INVALID;
         }
         timer.phaseCompleted("settings");
@@ -51,18 +51,18 @@
             sidecar.start();
         } catch (Exception e) {
             // Netty throws the checked exceptions of a failed bind undeclared.
-            SidecarLog.info("can't start: " + e);
+            SidecarLog.info("start_failed error=" + SidecarLog.quote(e));
             return EXIT_START_FAILED;
         }
         stopOnTermination(sidecar);
-        SidecarLog.info(
-                configuration.name() + " serves on " + sidecar.listenAddress() + ", " + configuration.describeLimits());
+        SidecarLog.info("listening name=" + SidecarLog.quote(configuration.name()) + " address="
+                + sidecar.listenAddress() + " " + configuration.describeLimits());
         reloader.attach(sidecar);
-        timer.phaseCompleted("sockets and module");
+        timer.phaseCompleted("sockets");
         int requests = warmUp.run();
         sidecar.warmUpCompleted();
-        timer.phaseCompleted("a rehearsal of " + requests + " requests");
-        SidecarLog.info("ready after this start, in ms: " + timer);
+        timer.phaseCompleted("warm_up");
+        SidecarLog.info("ready " + timer.summary() + " warm_up_requests=" + requests);
         awaitTermination();
         return EXIT_STOPPED;
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -63,7 +63,7 @@
             serveRequests(eventLoop);
         } catch (Exception | Error e) {
             // Errors as well: without a warm-up the sidecar only starts slower.
-            SidecarLog.error("no rehearsal", e);
+            SidecarLog.error("warm_up_failed", e);
         } finally {
             eventLoop.shutDown();
         }
--- a/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
+++ b/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
@@ -3,84 +3,97 @@
 import java.util.ArrayDeque;
 
 /**
- * One line to standard error for what an operator should know; nothing for a single request. Written by a thread of its
- * own: where nobody reads the other end of the pipe, a write blocks, and the event loop must not. Lines beyond
- * {@link #MOST_WAITING} are dropped, and their number is told once there is room again.
+ * The log of the process on standard error: one line for each event that an operator should know of, in the form
+ * {@code event_name key=value ...}, and none for a single request. Thread-safe. No caller ever blocks: a daemon thread
+ * writes, as a write blocks while nobody reads the other end of the pipe. Lines beyond {@link #MAX_PENDING} are dropped
+ * and counted in a line of their own.
  */
 public final class SidecarLog {
-    static final int MOST_WAITING = 1_024;
-    private static final long MOST_DRAIN_MS = 500;
+    static final int MAX_PENDING = 1_024;
+
+    private static final String PREFIX = "load-balancer: ";
+    private static final long FLUSH_TIMEOUT_MILLIS = 500;
+    private static final int MAX_STACK_FRAMES = 4;
 
     private static final Object LOCK = new Object();
-    private static final ArrayDeque<String> WAITING = new ArrayDeque<>();
+    private static final ArrayDeque<String> PENDING = new ArrayDeque<>();
     private static long dropped;
+    /** Whether the writer has taken a line and not yet written it. */
     private static boolean writing;
 
     static {
-        Thread writer = new Thread(SidecarLog::write, "log");
+        Thread writer = new Thread(SidecarLog::writeLines, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
     private SidecarLog() {}
 
-    public static void info(String text) {
+    /** Logs one line, which must not contain a line break. */
+    public static void info(String line) {
         synchronized (LOCK) {
-            if (WAITING.size() >= MOST_WAITING) {
+            if (PENDING.size() >= MAX_PENDING) {
                 dropped++;
                 return;
             }
-            WAITING.add(text);
+            PENDING.add(line);
             LOCK.notifyAll();
         }
     }
 
-    /** A fault of this program: with the lines at which it arose. */
-    public static void error(String what, Throwable e) {
-        StringBuilder text = new StringBuilder(what).append(": ").append(e);
-        StackTraceElement[] trace = e.getStackTrace();
-        for (int i = 0; i < Math.min(4, trace.length); i++) {
-            text.append(" at ").append(trace[i]);
+    /** Logs {@code event} with the failure behind it and the innermost frames of its stack. */
+    public static void error(String event, Throwable failure) {
+        StringBuilder line = new StringBuilder(event).append(" error=").append(quote(failure));
+        StackTraceElement[] frames = failure.getStackTrace();
+        for (int i = 0; i < Math.min(MAX_STACK_FRAMES, frames.length); i++) {
+            line.append(" at=").append(quote(frames[i]));
         }
-        info(text.toString());
+        info(line.toString());
+    }
+
+    /** The value as one quoted word of a line: its own quotation marks and line breaks are replaced. */
+    public static String quote(Object value) {
+        return '"' + String.valueOf(value).replace('"', '\'').replace('\n', ' ').replace('\r', ' ') + '"';
     }
 
-    /** Before the process ends: waits until all lines are out, not for ever where nobody reads them. */
+    /** Blocks until all lines are written, but no longer than half a second: nobody may be reading them. */
     public static void flush() throws InterruptedException {
-        long until = System.nanoTime() + MOST_DRAIN_MS * 1_000_000;
+        long deadlineNanos = System.nanoTime() + FLUSH_TIMEOUT_MILLIS * 1_000_000;
         synchronized (LOCK) {
-            for (long leftMs = MOST_DRAIN_MS; leftMs > 0 && (writing || !WAITING.isEmpty()); ) {
-                LOCK.wait(leftMs);
-                leftMs = (until - System.nanoTime()) / 1_000_000;
+            long remainingMillis = FLUSH_TIMEOUT_MILLIS;
+            while (remainingMillis > 0 && (writing || !PENDING.isEmpty())) {
+                LOCK.wait(remainingMillis);
+                remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
             }
         }
     }
 
-    private static void write() {
+    private static void writeLines() {
         try {
             while (true) {
-                String line = next();
-                System.err.println("load-balancer: " + line);
+                String line = nextLine();
+                System.err.println(PREFIX + line);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static String next() throws InterruptedException {
+    /** Blocks until there is a line to write, and reports the previous one as written. */
+    private static String nextLine() throws InterruptedException {
         synchronized (LOCK) {
             writing = false;
             LOCK.notifyAll();
-            while (WAITING.isEmpty() && dropped == 0) {
+            while (PENDING.isEmpty() && dropped == 0) {
                 LOCK.wait();
             }
             writing = true;
-            if (!WAITING.isEmpty()) {
-                return WAITING.poll();
+            if (!PENDING.isEmpty()) {
+                return PENDING.poll();
             }
-            String text = dropped + " lines were dropped: the reader of this log is too slow";
+            String line = "log_lines_dropped count=" + dropped;
             dropped = 0;
-            return text;
+            return line;
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/observability/StartupTimer.java
+++ b/src/main/java/loadbalancer/proxy/observability/StartupTimer.java
@@ -4,50 +4,55 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** Where the time of a start goes: by phase, in milliseconds that passed and in milliseconds of processor time. */
+/**
+ * Measures the phases of a start: elapsed time and processor time of the process. Without Linux' {@code proc} file
+ * system all processor times are 0.
+ */
 public final class StartupTimer {
-    /** User and system time of the process, in ticks of 10 ms: fields 14 and 15 of {@code proc(5)}'s stat. */
-    private static final String ACCOUNT = "/proc/self/stat";
+    private static final String PROCESS_STATISTICS = "/proc/self/stat";
+    /** Index of {@code utime} behind the process name; {@code stime} follows. See {@code proc(5)}. */
+    private static final int USER_TIME_FIELD = 11;
 
-    private static final int USER_FIELD = 11;
-    private static final int TICK_MS = 10;
+    private static final int CLOCK_TICK_MILLIS = 10;
 
     private final StringBuilder phases = new StringBuilder();
-    private long begunNanos = System.nanoTime();
-    private long usedMs = processorMs();
+    private long phaseStartNanos = System.nanoTime();
+    private long phaseStartCpuMillis = processCpuMillis();
 
-    /** What the Java machine itself has used until then; called first thing in {@code main}. */
+    /** Begins the first phase. What the process has used so far is reported as that of the Java virtual machine. */
     public StartupTimer() {
-        phases.append("the Java machine used ").append(usedMs).append(" ms");
+        phases.append("jvm_cpu_millis=").append(phaseStartCpuMillis);
     }
 
+    /** Ends a phase and begins the next; {@code phase} is the prefix of its keys, in lower snake case. */
     public void phaseCompleted(String phase) {
-        long now = System.nanoTime();
-        long used = processorMs();
-        phases.append(", ")
+        long nowNanos = System.nanoTime();
+        long nowCpuMillis = processCpuMillis();
+        phases.append(' ')
                 .append(phase)
+                .append("_millis=")
+                .append((nowNanos - phaseStartNanos) / 1_000_000)
                 .append(' ')
-                .append((now - begunNanos) / 1_000_000)
-                .append(" (")
-                .append(used - usedMs)
-                .append(" used)");
-        begunNanos = now;
-        usedMs = used;
+                .append(phase)
+                .append("_cpu_millis=")
+                .append(nowCpuMillis - phaseStartCpuMillis);
+        phaseStartNanos = nowNanos;
+        phaseStartCpuMillis = nowCpuMillis;
     }
 
-    @Override
-    public String toString() {
+    /** The phases as keys and values for a line of the log. */
+    public String summary() {
         return phases.toString();
     }
 
-    /** Zero where the system has no such account. */
-    private static long processorMs() {
-        try (FileInputStream in = new FileInputStream(ACCOUNT)) {
-            String text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
-            // The second field, a name in parentheses, may hold blanks itself.
+    private static long processCpuMillis() {
+        try (FileInputStream input = new FileInputStream(PROCESS_STATISTICS)) {
+            String text = new String(input.readAllBytes(), StandardCharsets.US_ASCII);
+            // The process name, in parentheses, may contain blanks.
             String[] fields = text.substring(text.lastIndexOf(')') + 2).split(" ");
-            return (Long.parseLong(fields[USER_FIELD]) + Long.parseLong(fields[USER_FIELD + 1])) * TICK_MS;
-        } catch (IOException | RuntimeException e) {
+            long ticks = Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[USER_TIME_FIELD + 1]);
+            return ticks * CLOCK_TICK_MILLIS;
+        } catch (IOException | NumberFormatException | IndexOutOfBoundsException e) {
             return 0;
         }
     }
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -2,100 +2,132 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import java.util.StringJoiner;
 import java.util.TreeMap;
 import loadbalancer.decision.AttemptOutcome;
 
-/** What was counted since the last line in the log, for a comparison of good stretches with bad ones. */
+/** Counts of the traffic since the previous totals in the log. Not thread-safe: belongs to the event loop. */
 public final class TrafficStatistics {
-    private final Map<AttemptOutcome, Integer> outcomes = new EnumMap<>(AttemptOutcome.class);
-    /** By class: a total can look well while one class is hardly served. */
-    private final Map<String, Counts> classes = new TreeMap<>();
+    private final Map<AttemptOutcome, Integer> attemptOutcomes = new EnumMap<>(AttemptOutcome.class);
+    /** By request class: the sum can look well while one class is hardly served. */
+    private final Map<String, ClassCounts> requestClasses = new TreeMap<>();
 
     private int failed;
-    private int left;
-    private int begun;
-    private long heldUs;
-    private long worstHeldUs;
-    private int accepted;
-    private int dialled;
-    private long worstLagUs;
-
-    private static final class Counts {
-        int taken;
+    private int disconnected;
+    private int firstAttempts;
+    private long queuedMicros;
+    private long maxQueuedMicros;
+    private int clientConnectionsAccepted;
+    private int upstreamConnectionsOpened;
+    private long maxLagMicros;
+
+    private static final class ClassCounts {
+        int accepted;
         int served;
-        int refused;
+        int rejected;
     }
 
-    private Counts of(String requestClass) {
-        return classes.computeIfAbsent(requestClass, c -> new Counts());
+    private ClassCounts countsOf(String requestClass) {
+        return requestClasses.computeIfAbsent(requestClass, name -> new ClassCounts());
     }
 
+    /** A request was read from a client. */
     public void requestAccepted(String requestClass) {
-        of(requestClass).taken++;
+        countsOf(requestClass).accepted++;
     }
 
+    /** A request was answered with the response of an endpoint. */
     public void requestServed(String requestClass) {
-        of(requestClass).served++;
+        countsOf(requestClass).served++;
     }
 
+    /** A request was answered with the promise that nothing has run. */
     public void requestRejected(String requestClass) {
-        of(requestClass).refused++;
+        countsOf(requestClass).rejected++;
     }
 
+    /** A request was answered without that promise. */
     public void requestFailed() {
         failed++;
     }
 
-    /** The client went away before its answer. */
+    /** A client closed its connection before the answer. */
     public void clientDisconnected() {
-        left++;
+        disconnected++;
     }
 
-    /** A request's first attempt, so long after the request was taken. */
-    public void firstAttemptStarted(long afterUs) {
-        begun++;
-        heldUs += afterUs;
-        worstHeldUs = Math.max(worstHeldUs, afterUs);
+    /** The first attempt of a request was started {@code queuedMicros} after the request was accepted. */
+    public void firstAttemptStarted(long queuedMicros) {
+        firstAttempts++;
+        this.queuedMicros += queuedMicros;
+        maxQueuedMicros = Math.max(maxQueuedMicros, queuedMicros);
     }
 
+    /** An attempt has its outcome. */
     public void attemptCompleted(AttemptOutcome outcome) {
-        outcomes.merge(outcome, 1, Integer::sum);
+        attemptOutcomes.merge(outcome, 1, Integer::sum);
     }
 
-    /** A connection of the application. */
+    /** A connection of a client was accepted. */
     public void clientConnectionAccepted() {
-        accepted++;
+        clientConnectionsAccepted++;
     }
 
-    /** A connection to an upstream was begun. */
+    /** A connection to an upstream was initiated. */
     public void upstreamConnectionOpened() {
-        dialled++;
+        upstreamConnectionsOpened++;
     }
 
-    /** What makes the event loop late makes every answer late: too little of the core, a pause, or a fault here. */
-    public void eventLoopLag(long us) {
-        worstLagUs = Math.max(worstLagUs, us);
+    /** The event loop was late by this much: every answer of that time is. */
+    public void eventLoopLag(long lagMicros) {
+        maxLagMicros = Math.max(maxLagMicros, lagMicros);
     }
 
-    /** All of it in one line, and from the start again; null where nothing happened. */
-    public String summary(int open, int clients, int upstreams) {
-        if (classes.isEmpty() && accepted + dialled + open == 0) {
-            worstLagUs = 0;
+    /** One line of the log with all counts, which are then reset; null where there was no traffic. */
+    public String summarizeAndReset(int openRequests, int clientConnections, int upstreamConnections) {
+        if (requestClasses.isEmpty() && clientConnectionsAccepted + upstreamConnectionsOpened + openRequests == 0) {
+            maxLagMicros = 0;
             return null;
         }
-        StringJoiner counts = new StringJoiner("; ");
-        classes.forEach((name, c) ->
-                counts.add(name + " taken " + c.taken + ", served " + c.served + ", refused " + c.refused));
-        String line = counts + "; failed " + failed + ", left " + left + ", open " + open
-                + "; before the first attempt " + heldUs / Math.max(1, begun) + " us, at most " + worstHeldUs
-                + "; attempts " + outcomes + "; clients' connections " + clients + " (" + accepted
-                + " new), to upstreams " + upstreams + " (" + dialled + " new); the event loop late by up to "
-                + worstLagUs / 1000 + " ms";
-        outcomes.clear();
-        classes.clear();
-        failed = left = begun = accepted = dialled = 0;
-        heldUs = worstHeldUs = worstLagUs = 0;
+        String line = summary(openRequests, clientConnections, upstreamConnections);
+        reset();
         return line;
     }
+
+    private String summary(int openRequests, int clientConnections, int upstreamConnections) {
+        StringBuilder line = new StringBuilder("totals");
+        requestClasses.forEach((name, counts) -> line.append(" class=")
+                .append(name)
+                .append(" accepted=")
+                .append(counts.accepted)
+                .append(" served=")
+                .append(counts.served)
+                .append(" rejected=")
+                .append(counts.rejected));
+        line.append(" failed=").append(failed);
+        line.append(" client_disconnected=").append(disconnected);
+        line.append(" open_requests=").append(openRequests);
+        line.append(" queued_mean_micros=").append(queuedMicros / Math.max(1, firstAttempts));
+        line.append(" queued_max_micros=").append(maxQueuedMicros);
+        line.append(" client_connections=").append(clientConnections);
+        line.append(" client_connections_accepted=").append(clientConnectionsAccepted);
+        line.append(" upstream_connections=").append(upstreamConnections);
+        line.append(" upstream_connections_opened=").append(upstreamConnectionsOpened);
+        line.append(" lag_max_millis=").append(maxLagMicros / 1000);
+        attemptOutcomes.forEach((outcome, attempts) ->
+                line.append(" outcome=").append(outcome).append(" attempts=").append(attempts));
+        return line.toString();
+    }
+
+    private void reset() {
+        attemptOutcomes.clear();
+        requestClasses.clear();
+        failed = 0;
+        disconnected = 0;
+        firstAttempts = 0;
+        queuedMicros = 0;
+        maxQueuedMicros = 0;
+        clientConnectionsAccepted = 0;
+        upstreamConnectionsOpened = 0;
+        maxLagMicros = 0;
+    }
 }
--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -19,6 +20,16 @@
     @TempDir
     Path folder;
 
+    private Process started;
+
+    /** A test that fails must not leave its process behind. */
+    @AfterEach
+    void endProcess() {
+        if (started != null) {
+            started.destroyForcibly();
+        }
+    }
+
     private Process start(String config, String... options) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
@@ -30,7 +41,8 @@
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.environment().put("BALANCER_DISCOVERY", "127.0.0.1:9");
         builder.redirectError(folder.resolve("log").toFile());
-        return builder.start();
+        started = builder.start();
+        return started;
     }
 
     private List<String> log() throws Exception {
@@ -71,13 +83,13 @@
     @Test
     void toldOfANewConfigurationItServesOnWithIt() throws Exception {
         Process p = start(CONFIG);
-        awaitLine(p, " serves on ");
+        awaitLine(p, "load-balancer: listening ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
         hangUp(p);
         awaitLine(p, "discovery is now at /127.0.0.2:9");
         Files.writeString(folder.resolve("config.json"), "{");
         hangUp(p);
-        awaitLine(p, "goes on as before: ");
+        awaitLine(p, "load-balancer: configuration_rejected ");
         assertTrue(p.isAlive());
         p.destroy();
         assertTrue(p.waitFor(60, TimeUnit.SECONDS));
@@ -89,7 +101,7 @@
     void flightRecorderIsNotStartedToServe() throws Exception {
         Path classes = folder.resolve("classes");
         Process p = start(CONFIG, "-Xlog:class+load:file=" + classes);
-        awaitLine(p, " ready after ");
+        awaitLine(p, "load-balancer: ready ");
         p.destroy();
         assertTrue(p.waitFor(60, TimeUnit.SECONDS));
         List<String> loaded = Files.readAllLines(classes);
@@ -108,7 +120,7 @@
     void aNewConfigurationIsTakenOverWithoutAFloodOfClasses() throws Exception {
         Path classes = folder.resolve("classes");
         Process p = start(CONFIG, "-Xlog:class+load:file=" + classes);
-        awaitLine(p, " ready after ");
+        awaitLine(p, "load-balancer: ready ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
         hangUp(p);
         awaitLine(p, "discovery is now at /127.0.0.2:9");
@@ -126,7 +138,7 @@
     @Test
     void askedToEndItExitsWithZero() throws Exception {
         Process p = start(CONFIG);
-        awaitLine(p, " serves on ");
+        awaitLine(p, "load-balancer: listening ");
         p.destroy();
         assertTrue(p.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, p.exitValue(), log().toString());
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -57,7 +57,7 @@
 
     /** The clients have left by now; their leaving has to be older than what may go unseen. */
     private void letGo(StubServer.Client held) throws Exception {
-        Thread.sleep(2 * ReadTrackingEventLoop.FRESH_US / 1000);
+        Thread.sleep(2 * ReadTrackingEventLoop.MAX_READ_AGE_MICROS / 1000);
         goOn.release();
         assertEquals(502, held.status());
     }
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -12,15 +12,15 @@
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.taskFinished("before the start", clock.nowMicros() - 900_000);
-        assertNull(monitor.tick(300_000));
+        assertNull(monitor.checkLag(300_000));
         monitor.start();
         monitor.taskFinished("short", clock.nowMicros() - 2_000);
-        assertNull(monitor.tick(100_000));
+        assertNull(monitor.checkLag(100_000));
         monitor.taskFinished("long", clock.nowMicros() - 500_000);
         monitor.taskFinished("short", clock.nowMicros() - 2_000);
-        String line = monitor.tick(300_000);
-        assertTrue(line.startsWith("the event loop was late by 300 ms; longest: long, 5"), line);
-        assertNull(monitor.tick(300_000));
+        String line = monitor.checkLag(300_000);
+        assertTrue(line.startsWith("event_loop_late lag_millis=300 longest_task=\"long\" longest_task_millis=5"), line);
+        assertNull(monitor.checkLag(300_000));
     }
 
     /** A loop that had no processor and one that was busy itself look alike but for this. */
@@ -35,7 +35,7 @@
             iterations++;
         }
         assertTrue(iterations > 0);
-        String line = monitor.tick(300_000);
-        assertTrue(line.matches(".* ms ([^,]+ ran \\d+ ms and waited \\d+ for a processor(, )?)+"), line);
+        String line = monitor.checkLag(300_000);
+        assertTrue(line.matches(".* window_millis=\\d+( thread=\"[^\"]+\" ran_millis=\\d+ waited_millis=\\d+)+"), line);
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -78,7 +78,7 @@
                 assertTrue(leftUs(fixture.await("request before")) > (LONG_MS - 100) * 1000);
                 fixture.eventLoop
                         .eventLoop()
-                        .submit(() -> fixture.eventLoop.recordTick(1_000_000))
+                        .submit(() -> fixture.eventLoop.recordLag(1_000_000))
                         .sync();
             }
             try (StubServer.Client client = fixture.client()) {
--- a/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
@@ -14,10 +14,10 @@
 
 @Timeout(60)
 class SidecarLogTest {
-    private static final String MARK = "a line of LogTest ";
+    private static final String MARKER = "sidecar_log_test line=";
 
     /** A pipe that nobody reads: its writer stands still, and who logs does not. */
-    private static final class Stuck extends ByteArrayOutputStream {
+    private static final class BlockedStream extends ByteArrayOutputStream {
         final CountDownLatch reached = new CountDownLatch(1);
         final CountDownLatch released = new CountDownLatch(1);
 
@@ -35,41 +35,42 @@
         List<String> marked() {
             return toString(StandardCharsets.UTF_8)
                     .lines()
-                    .filter(l -> l.contains(MARK))
+                    .filter(line -> line.contains(MARKER))
                     .toList();
         }
     }
 
     @Test
     void whoLogsNeverWaitsForTheReader() throws Exception {
-        PrintStream usual = System.err;
-        Stuck pipe = new Stuck();
+        PrintStream originalErr = System.err;
+        BlockedStream pipe = new BlockedStream();
         System.setErr(new PrintStream(pipe, true));
         try {
-            SidecarLog.info(MARK + "first");
+            SidecarLog.info(MARKER + "first");
             assertTrue(pipe.reached.await(20, TimeUnit.SECONDS));
-            int most = 2 * SidecarLog.MOST_WAITING;
-            for (int i = 0; i < most; i++) {
-                SidecarLog.info(MARK + i);
+            int lines = 2 * SidecarLog.MAX_PENDING;
+            for (int i = 0; i < lines; i++) {
+                SidecarLog.info(MARKER + i);
             }
             assertEquals(0, pipe.marked().size());
             pipe.released.countDown();
             SidecarLog.flush();
-            String told = pipe.toString(StandardCharsets.UTF_8)
+            String droppedLine = pipe.toString(StandardCharsets.UTF_8)
                     .lines()
-                    .filter(l -> l.contains(" lines were dropped"))
+                    .filter(line -> line.contains("log_lines_dropped count="))
                     .findFirst()
                     .orElseThrow();
-            int dropped = Integer.parseInt(told.replace("load-balancer: ", "").split(" ")[0]);
+            int dropped = Integer.parseInt(droppedLine.replace("load-balancer: log_lines_dropped count=", ""));
             // Others may log in this process too.
             assertTrue(
-                    pipe.marked().size() <= SidecarLog.MOST_WAITING + 1,
+                    pipe.marked().size() <= SidecarLog.MAX_PENDING + 1,
                     pipe.marked().size() + " lines");
-            assertTrue(pipe.marked().size() + dropped >= most + 1, pipe.marked().size() + " lines, " + told);
+            assertTrue(
+                    pipe.marked().size() + dropped >= lines + 1, pipe.marked().size() + " lines, " + droppedLine);
             assertTrue(pipe.marked().get(0).endsWith("first"));
         } finally {
             pipe.released.countDown();
-            System.setErr(usual);
+            System.setErr(originalErr);
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/observability/TrafficStatisticsTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/TrafficStatisticsTest.java
@@ -8,15 +8,18 @@
 class TrafficStatisticsTest {
     @Test
     void aLineTellsEachClassApartAndBeginsAnewAfterwards() {
-        TrafficStatistics totals = new TrafficStatistics();
-        assertEquals(null, totals.summary(0, 0, 0));
-        totals.requestAccepted("a");
-        totals.requestServed("a");
-        totals.requestAccepted("b");
-        totals.requestAccepted("b");
-        totals.requestRejected("b");
-        String line = totals.summary(1, 0, 0);
-        assertTrue(line.startsWith("a taken 1, served 1, refused 0; b taken 2, served 0, refused 1; failed 0,"), line);
-        assertEquals(null, totals.summary(0, 0, 0));
+        TrafficStatistics statistics = new TrafficStatistics();
+        assertEquals(null, statistics.summarizeAndReset(0, 0, 0));
+        statistics.requestAccepted("a");
+        statistics.requestServed("a");
+        statistics.requestAccepted("b");
+        statistics.requestAccepted("b");
+        statistics.requestRejected("b");
+        String line = statistics.summarizeAndReset(1, 0, 0);
+        assertTrue(
+                line.startsWith(
+                        "totals class=a accepted=1 served=1 rejected=0 class=b accepted=2 served=0 rejected=1 failed=0 "),
+                line);
+        assertEquals(null, statistics.summarizeAndReset(0, 0, 0));
     }
 }
