--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -8,6 +8,7 @@
 import loadbalancer.proxy.client.ClientServer;
 import loadbalancer.proxy.client.RequestDispatcher;
 import loadbalancer.proxy.configuration.SidecarConfiguration;
+import loadbalancer.proxy.discovery.DiscoveryMode;
 import loadbalancer.proxy.discovery.DiscoveryWatch;
 import loadbalancer.proxy.discovery.ExponentialBackoff;
 import loadbalancer.proxy.discovery.WatchTimeouts;
@@ -18,7 +19,6 @@
 import loadbalancer.proxy.gossip.GossipTransport;
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.observability.TrafficStatistics;
-import loadbalancer.proxy.protocol.EndpointList;
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 import loadbalancer.settings.LoadBalancerSettings;
 import loadbalancer.settings.RequestClass;
@@ -54,7 +54,7 @@
                 configuration,
                 loadBalancerFactory,
                 new ReadTrackingEventLoop(new MonotonicClock()),
-                WatchTimeouts.USUAL,
+                WatchTimeouts.DEFAULT,
                 DiscoveryWatch.defaultBackoff());
     }
 
@@ -100,11 +100,12 @@
                 loop,
                 clock,
                 loadBalancer,
-                upstreams,
-                configuration.discoveryAddress(),
-                configuration.initialEndpoints().generation(),
-                !settings().polledDiscovery(),
-                watchTimeouts,
+                upstreams::updateEndpoints,
+                new DiscoveryWatch.Options(
+                        configuration.discoveryAddress(),
+                        configuration.initialEndpoints().generation(),
+                        settings().polledDiscovery() ? DiscoveryMode.POLLED : DiscoveryMode.PUSHED,
+                        watchTimeouts),
                 backoff);
     }
 
@@ -167,9 +168,7 @@
         created.onEndpointList(
                 clock.nowMicros(),
                 EndpointListType.CACHED,
-                configuration.initialEndpoints().entries().stream()
-                        .map(EndpointList.Entry::upstream)
-                        .toList());
+                configuration.initialEndpoints().endpoints());
         return created;
     }
 
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -216,7 +216,7 @@
                         .initialEndpoints()
                         .entries()
                         .get(0)
-                        .upstream()
+                        .endpoint()
                         .startedMicros());
         assertEquals(0x8c1f30d27a5be964L, SidecarFixture.config(good).seed());
         broken("", "JSON");
