--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -156,10 +156,9 @@
         int number = x.attempts.size();
         long until = untilUs <= 0 ? x.deadlineUs : Math.min(untilUs, x.deadlineUs);
         boolean moot = x.over || number >= maxAttempts || until <= clock.nowMicros();
-        UpstreamCall call = new UpstreamCall(
+        UpstreamCall call = UpstreamCall.attempt(
                 upstream,
                 until,
-                false,
                 left -> message(x, left),
                 (c, outcome, report, body) -> ended(x, number, c, outcome, report, body));
         if (number == 0) {
@@ -167,8 +166,7 @@
         }
         x.attempts.add(call);
         if (moot) {
-            call.sentAt(clock.nowMicros());
-            call.end(AttemptOutcome.NOT_SENT, null, null);
+            call.endUnsent(clock.nowMicros());
         } else {
             upstreams.startCall(call);
         }
@@ -188,7 +186,7 @@
 
     private void ended(
             RequestExchange x, int number, UpstreamCall call, AttemptOutcome outcome, LoadReport report, ByteBuf body) {
-        call.endedAt(clock.nowMicros());
+        call.noteEnd(clock.nowMicros());
         totals.attemptCompleted(outcome);
         if (outcome == AttemptOutcome.OK && !x.over) {
             totals.requestServed(x.request.requestClass());
@@ -202,7 +200,13 @@
                 m -> m.onAttemptOutcome(
                         now,
                         new AttemptResult(
-                                x.request.id(), number, call.upstream(), outcome, now - call.sentUs(), x.over, report)),
+                                x.request.id(),
+                                number,
+                                call.endpoint(),
+                                outcome,
+                                now - call.sentMicros(),
+                                x.over,
+                                report)),
                 () -> failUnlessOut(x));
     }
 
--- a/src/main/java/loadbalancer/proxy/client/RequestExchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -61,9 +61,9 @@
                 .append((now - takenUs) / 1000)
                 .append(" after it was taken:");
         for (UpstreamCall c : attempts) {
-            text.append(' ').append(c.upstream()).append(" at ").append((c.sentUs() - takenUs) / 1000);
+            text.append(' ').append(c.endpoint()).append(" at ").append((c.sentMicros() - takenUs) / 1000);
             if (c.ended()) {
-                text.append(' ').append(c.outcome()).append(" at ").append((c.endedUs() - takenUs) / 1000);
+                text.append(' ').append(c.outcome()).append(" at ").append((c.endedMicros() - takenUs) / 1000);
             }
         }
         return attempts.isEmpty() ? text.append(" no attempt").toString() : text.toString();
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -16,67 +16,88 @@
 import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 
-/** Short messages between sidecars. A peer's number is its place in the configuration. */
+/**
+ * Datagrams of gossip between sidecars. A peer is known by its index in the configured list; datagrams of any other
+ * sender are dropped, as are those that are too long. Delivery is not promised: what can't be sent is lost.
+ *
+ * <p>All methods but the constructor and {@link #listen} run on the event loop that owns the socket. Received buffers
+ * are released by the handler, sent ones by Netty.
+ */
 public final class GossipTransport {
-    private static final int MAX_BYTES = 256;
+    /** The peer index that stands for all peers. */
+    private static final int ALL_PEERS = -1;
+
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
     private final MonotonicClock clock;
     private final LoadBalancerExecutor decisions;
+    private final Map<InetSocketAddress, Integer> peerIndexes = new HashMap<>();
     private List<InetSocketAddress> peers;
-    private InetSocketAddress all;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    /** Null where the configuration names no such address. */
+    private InetSocketAddress allPeers;
+    /** Null until the transport listens; without a listener nothing is sent. */
     private Channel channel;
 
     public GossipTransport(
             MonotonicClock clock,
             LoadBalancerExecutor decisions,
             List<InetSocketAddress> peers,
-            InetSocketAddress all) {
+            InetSocketAddress allPeers) {
         this.clock = clock;
         this.decisions = decisions;
-        updatePeers(peers, all);
+        updatePeers(peers, allPeers);
     }
 
-    /** A peer's number is its place in the list that holds now. */
-    public void updatePeers(List<InetSocketAddress> addresses, InetSocketAddress ofAll) {
-        peers = addresses;
-        all = ofAll;
-        numbers.clear();
+    /** Replaces the peers: their indexes are those in {@code newPeers} from now on. */
+    public void updatePeers(List<InetSocketAddress> newPeers, InetSocketAddress newAllPeers) {
+        peers = newPeers;
+        allPeers = newAllPeers;
+        peerIndexes.clear();
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(peers.get(i), i);
+            peerIndexes.put(peers.get(i), i);
         }
     }
 
+    /** Binds the socket, waiting for it; not to be called on the event loop itself. */
     public void listen(EventLoop loop, InetSocketAddress address) throws InterruptedException {
         channel = new Bootstrap()
                 .group(loop)
                 .channelFactory(() -> new NioDatagramChannel())
-                .handler(new Handler())
+                .handler(new DatagramHandler())
                 .bind(address)
                 .sync()
                 .channel();
     }
 
-    /** To one peer, or to all where the number is -1. What can't be sent is lost, as any datagram may be. */
+    /** Sends to the peer of this index, or to all where it is -1. Unknown peers and messages too long are skipped. */
     public void send(int peer, byte[] message) {
-        InetSocketAddress to = peer == -1 ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
-        if (channel != null && to != null && message.length <= MAX_BYTES) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
+        InetSocketAddress recipient = recipient(peer);
+        if (channel != null && recipient != null && message.length <= MAX_DATAGRAM_BYTES) {
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), recipient));
+        }
+    }
+
+    /** Null where there is no such peer. */
+    private InetSocketAddress recipient(int peer) {
+        if (peer == ALL_PEERS) {
+            return allPeers;
         }
+        return peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
     }
 
-    private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
+    /** Passes the datagrams of peers on to the decision module. */
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            Integer number = numbers.get(packet.sender());
-            if (number == null || packet.content().readableBytes() > MAX_BYTES) {
+            Integer peer = peerIndexes.get(packet.sender());
+            if (peer == null || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            decisions.submit("a peer's word", m -> m.onGossip(clock.nowMicros(), number, message), () -> {});
+            decisions.submit("gossip", module -> module.onGossip(clock.nowMicros(), peer, message), () -> {});
         }
 
-        /** The network says of an earlier datagram that nobody was there: no reason to stop listening. */
+        /** An earlier datagram could not be delivered: no reason to stop listening. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -32,6 +32,7 @@
 import loadbalancer.proxy.observability.TrafficStatistics;
 import loadbalancer.proxy.upstream.UpstreamCall;
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
+import loadbalancer.proxy.upstream.UpstreamTimeouts;
 import loadbalancer.settings.LoadBalancerSettings;
 import loadbalancer.settings.RequestClass;
 
@@ -103,10 +104,8 @@
         int spare = config.sockets() / 12;
         upstreams = new UpstreamConnectionPool(
                 reads,
-                settings.limits().connectionIdleTimeoutMicros(),
-                UpstreamConnectionPool.REST_US,
-                settings.limits().connectTimeoutMicros(),
-                stallUs(settings),
+                upstreamTimeouts(settings),
+                UpstreamConnectionPool.REUSE_DELAY_MICROS,
                 () -> most - openFromClients(),
                 totals);
         requests = new RequestDispatcher(
@@ -138,6 +137,13 @@
         return clients.openConnections();
     }
 
+    private static UpstreamTimeouts upstreamTimeouts(LoadBalancerSettings settings) {
+        return new UpstreamTimeouts(
+                settings.limits().connectionIdleTimeoutMicros(),
+                settings.limits().connectTimeoutMicros(),
+                stallUs(settings));
+    }
+
     /** A quarter of the time within which an answer is wanted leaves enough of it for another attempt. */
     private static long stallUs(LoadBalancerSettings settings) {
         long aim = settings.requestClasses().stream()
@@ -310,10 +316,7 @@
         // The module first: no request of a new class may come to one that does not know it.
         decisions.submit("new settings", m -> m.onSettings(clock.nowMicros(), settings), () -> {});
         requests.updateMaxAttempts(settings.limits().maxAttempts());
-        upstreams.updateTimeouts(
-                settings.limits().connectionIdleTimeoutMicros(),
-                settings.limits().connectTimeoutMicros(),
-                stallUs(settings));
+        upstreams.updateTimeouts(upstreamTimeouts(settings));
         clients.updateRequestClasses(settings.requestClasses());
     }
 
@@ -352,15 +355,18 @@
 
         @Override
         public void checkHealth(String upstream) {
-            upstreams.startCall(new UpstreamCall(
+            upstreams.startCall(UpstreamCall.healthCheck(
                     upstream,
                     clock.nowMicros() + PROBE_US,
-                    true,
                     left -> probe(),
                     (call, outcome, report, body) -> decisions.submit(
                             "a probe",
                             m -> m.onHealthCheck(
-                                    clock.nowMicros(), upstream, outcome, clock.nowMicros() - call.sentUs(), report),
+                                    clock.nowMicros(),
+                                    upstream,
+                                    outcome,
+                                    clock.nowMicros() - call.sentMicros(),
+                                    report),
                             () -> {})));
         }
 
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
@@ -7,42 +7,50 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Puts answers together whose end their own head tells. One that ends with its connection can't be told from one cut
- * short, one of unheard-of length is none, and after a switch of protocols no answer follows: all are spoilt.
+ * Puts responses together whose head states their length. Any other is rejected with a {@link CorruptedFrameException}:
+ * one that ends with its connection can't be told from one cut short, and after a switch of protocols no response
+ * follows. Belongs to one connection and its event loop.
  */
 final class ResponseAggregator extends HttpObjectAggregator {
-    private boolean open;
+    private boolean inProgress;
 
-    ResponseAggregator(int maxBody) {
-        super(maxBody);
+    ResponseAggregator(int maxBodyBytes) {
+        super(maxBodyBytes);
     }
 
-    /** True from an answer's head to its end. */
-    boolean open() {
-        return open;
+    /** True from a response's head to its end. */
+    boolean inProgress() {
+        return inProgress;
     }
 
     @Override
     protected FullHttpMessage beginAggregation(HttpMessage start, ByteBuf content) throws Exception {
-        int status = start instanceof HttpResponse r ? r.status().code() : 0;
-        boolean interim = HttpStatusClass.INFORMATIONAL.contains(status) && status != 101;
-        boolean framed = HttpUtil.isTransferEncodingChunked(start)
-                || start.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size() == 1;
-        if (!start.decoderResult().isSuccess() || status == 101 || !framed && !interim) {
+        if (!start.decoderResult().isSuccess() || !hasKnownEnd(start)) {
             content.release();
-            throw new CorruptedFrameException("no answer whose end is known");
+            throw new CorruptedFrameException("a response without a known end");
         }
-        open = true;
+        inProgress = true;
         return super.beginAggregation(start, content);
     }
 
+    private static boolean hasKnownEnd(HttpMessage start) {
+        int status = start instanceof HttpResponse response ? response.status().code() : 0;
+        if (status == HttpResponseStatus.SWITCHING_PROTOCOLS.code()) {
+            return false;
+        }
+        return HttpStatusClass.INFORMATIONAL.contains(status)
+                || HttpUtil.isTransferEncodingChunked(start)
+                || start.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size() == 1;
+    }
+
     @Override
     protected void finishAggregation(FullHttpMessage aggregated) throws Exception {
-        open = false;
+        inProgress = false;
         super.finishAggregation(aggregated);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
@@ -0,0 +1,51 @@
+package loadbalancer.proxy.upstream;
+
+import io.netty.handler.codec.http.FullHttpResponse;
+import java.nio.charset.StandardCharsets;
+import loadbalancer.decision.AttemptOutcome;
+import loadbalancer.decision.LoadReport;
+import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.LoadReportParser;
+
+/** Ends a call with the outcome that its response stands for. Stateless; the caller keeps the response's buffer. */
+final class ResponseClassifier {
+    private static final String REJECTED_VALUE = "1";
+
+    private ResponseClassifier() {}
+
+    static void endCall(UpstreamCall call, FullHttpResponse response) {
+        LoadReport loadReport = loadReport(call, response);
+        AttemptOutcome outcome = outcome(response);
+        if (call.isHealthCheck() && outcome == AttemptOutcome.OK && loadReport == null) {
+            // An unreadable report says neither how loaded the endpoint is nor that it sends none.
+            outcome = AttemptOutcome.MALFORMED_RESPONSE;
+        }
+        if (!call.isWritten() && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
+            // No endpoint can respond to a request that it has not got: the response is another request's.
+            call.malformedResponse();
+        } else {
+            call.end(outcome, loadReport, outcome == AttemptOutcome.OK ? response.content() : null);
+        }
+    }
+
+    private static LoadReport loadReport(UpstreamCall call, FullHttpResponse response) {
+        return LoadReportParser.parse(
+                call.isHealthCheck()
+                        ? response.content().toString(StandardCharsets.UTF_8)
+                        : response.headers().get(HeaderNames.LOAD_REPORT));
+    }
+
+    private static AttemptOutcome outcome(FullHttpResponse response) {
+        int status = response.status().code();
+        return switch (status) {
+            case 200 -> AttemptOutcome.OK;
+            case 503, 504 -> isRejection(response) ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
+                // The client's fault: no other endpoint would accept the request either.
+            default -> status >= 400 && status < 500 ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.ERROR;
+        };
+    }
+
+    private static boolean isRejection(FullHttpResponse response) {
+        return REJECTED_VALUE.equals(response.headers().get(HeaderNames.REJECTED));
+    }
+}
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.util.AsciiString;
 import loadbalancer.proxy.protocol.StrictFraming;
 
-/** Takes answers apart, none of them by guess, and knows whether bytes are left that belong to none. */
+/** Decodes responses under the rules of {@link StrictFraming}. Belongs to one connection and its event loop. */
 final class ResponseDecoder extends HttpResponseDecoder {
     ResponseDecoder() {
         super(StrictFraming.decoderConfig());
@@ -22,8 +22,8 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    /** True while bytes wait that no message has taken: half an answer, or what came behind one. */
-    boolean leftOver() {
+    /** Whether bytes wait that no message has taken: a part of a response, or what follows one. */
+    boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseStallTimer.java
@@ -0,0 +1,58 @@
+package loadbalancer.proxy.upstream;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
+/**
+ * Notices a response that has begun and makes no progress any more. One that comes slowly, piece by piece, is left
+ * alone. Belongs to one connection and its event loop.
+ */
+final class ResponseStallTimer {
+    private final long stallMicros;
+    private final BooleanSupplier responseIncomplete;
+    private final Consumer<ChannelHandlerContext> onStall;
+    private long lastProgressNanos;
+    /** Null while no check is scheduled. */
+    private Future<?> check;
+
+    ResponseStallTimer(long stallMicros, BooleanSupplier responseIncomplete, Consumer<ChannelHandlerContext> onStall) {
+        this.stallMicros = stallMicros;
+        this.responseIncomplete = responseIncomplete;
+        this.onStall = onStall;
+    }
+
+    /** A part of a response was read. */
+    void recordProgress(ChannelHandlerContext ctx) {
+        lastProgressNanos = System.nanoTime();
+        if (check == null) {
+            schedule(ctx, stallMicros);
+        }
+    }
+
+    void cancel() {
+        if (check != null) {
+            check.cancel(false);
+            check = null;
+        }
+    }
+
+    private void schedule(ChannelHandlerContext ctx, long delayMicros) {
+        check = ctx.executor().schedule(() -> check(ctx), delayMicros, TimeUnit.MICROSECONDS);
+    }
+
+    private void check(ChannelHandlerContext ctx) {
+        check = null;
+        long remainingMicros = stallMicros - (System.nanoTime() - lastProgressNanos) / 1000;
+        if (!responseIncomplete.getAsBoolean()) {
+            return;
+        }
+        if (remainingMicros <= 0) {
+            onStall.accept(ctx);
+        } else {
+            schedule(ctx, remainingMicros);
+        }
+    }
+}
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -8,122 +8,195 @@
 import loadbalancer.decision.AttemptOutcome;
 import loadbalancer.decision.LoadReport;
 
-/** One message to an upstream, until its outcome. */
+/**
+ * One request to an endpoint, from its creation to its one outcome. Until its last byte is written a call has not run
+ * for certain; most of the outcomes depend on that. Times are module times in microseconds. Owned by the event loop of
+ * the {@link UpstreamConnectionPool} that it is started on.
+ */
 public final class UpstreamCall {
-    private final String upstream;
-    final long untilUs;
-    /** Makes the message, told how long an answer is waited for. */
-    final LongFunction<FullHttpRequest> message;
-
-    private final UpstreamCallListener result;
-    private final boolean reportInBody;
-    private long sentUs;
-    UpstreamConnectionPool.Target target;
-    Channel channel;
-    Future<?> timeout;
-    boolean written;
-    /** Null while it is out. */
-    private AttemptOutcome outcome;
-    /** When its end was told; 0 where nobody noted it. */
-    private long endedUs;
-
-    public UpstreamCall(
-            String upstream,
-            long untilUs,
-            boolean reportInBody,
-            LongFunction<FullHttpRequest> message,
-            UpstreamCallListener result) {
-        this.upstream = upstream;
-        this.untilUs = untilUs;
-        this.message = message;
-        this.reportInBody = reportInBody;
-        this.result = result;
+    private enum Kind {
+        ATTEMPT,
+        HEALTH_CHECK
     }
 
-    /** The endpoint that the call goes to. */
-    public String upstream() {
-        return upstream;
-    }
+    private final Kind kind;
+    private final String endpoint;
+    private final long deadlineMicros;
+    private final LongFunction<FullHttpRequest> requestFactory;
+    private final UpstreamCallListener listener;
 
-    /** When the call was started. */
-    public long sentUs() {
-        return sentUs;
-    }
+    private long sentMicros;
+    /** 0 where the end was not noted. */
+    private long endedMicros;
+    /** The endpoint as it was listed at the start. Null until then. */
+    private UpstreamEndpoint target;
+
+    private Future<?> timeout;
+    /** Null until a connection was chosen or dialed. */
+    private Channel channel;
 
-    public void sentAt(long timeUs) {
-        sentUs = timeUs;
+    private boolean written;
+    /** Null until the end. */
+    private AttemptOutcome outcome;
+
+    private UpstreamCall(
+            Kind kind,
+            String endpoint,
+            long deadlineMicros,
+            LongFunction<FullHttpRequest> requestFactory,
+            UpstreamCallListener listener) {
+        this.kind = kind;
+        this.endpoint = endpoint;
+        this.deadlineMicros = deadlineMicros;
+        this.requestFactory = requestFactory;
+        this.listener = listener;
+    }
+
+    /**
+     * A client's request, forwarded.
+     *
+     * @param requestFactory makes the message when it is written, from the microseconds until the deadline
+     */
+    public static UpstreamCall attempt(
+            String endpoint,
+            long deadlineMicros,
+            LongFunction<FullHttpRequest> requestFactory,
+            UpstreamCallListener listener) {
+        return new UpstreamCall(Kind.ATTEMPT, endpoint, deadlineMicros, requestFactory, listener);
+    }
+
+    /** A request for the endpoint's load report, which is the body of the response. */
+    public static UpstreamCall healthCheck(
+            String endpoint,
+            long deadlineMicros,
+            LongFunction<FullHttpRequest> requestFactory,
+            UpstreamCallListener listener) {
+        return new UpstreamCall(Kind.HEALTH_CHECK, endpoint, deadlineMicros, requestFactory, listener);
+    }
+
+    /** The id of the endpoint that the call goes to. */
+    public String endpoint() {
+        return endpoint;
     }
 
-    /** When the end of the call was noted; 0 where nobody noted it. */
-    public long endedUs() {
-        return endedUs;
+    /** When the call was started. */
+    public long sentMicros() {
+        return sentMicros;
     }
 
-    public void endedAt(long timeUs) {
-        endedUs = timeUs;
+    /** When the end of the call was noted; 0 where nobody noted it. */
+    public long endedMicros() {
+        return endedMicros;
     }
 
-    /** True for a probe, whose answer's body is the load report. */
-    boolean reportInBody() {
-        return reportInBody;
+    public void noteEnd(long timeMicros) {
+        endedMicros = timeMicros;
     }
 
     public boolean ended() {
         return outcome != null;
     }
 
+    /** Null until the call has ended. */
     public AttemptOutcome outcome() {
         return outcome;
     }
 
-    /** Whether the last byte of the message is out. */
-    boolean written() {
-        return written;
+    /** Gives the call up; its connection is closed, so that a late response reaches nobody. */
+    public void cancel() {
+        abort(AttemptOutcome.CANCELLED);
     }
 
-    public void end(AttemptOutcome how, LoadReport report, ByteBuf body) {
-        if (ended()) {
-            return;
-        }
-        outcome = how;
-        if (timeout != null) {
-            timeout.cancel(false);
+    /** Gives the call up unless its request was written: it has not run, and now it never will. */
+    public void withdraw() {
+        if (!written) {
+            abort(AttemptOutcome.NOT_SENT);
         }
-        result.ended(this, how, report, body);
     }
 
-    /** Ends a call that gets no answer any more: a late one must find nobody, so its connection goes. */
-    void abandon(AttemptOutcome outcome) {
-        if (!ended()) {
-            if (channel != null) {
-                channel.close();
-            }
-            end(outcome, null, null);
+    /** Ends a call that is not to be started at all. */
+    public void endUnsent(long nowMicros) {
+        sentMicros = nowMicros;
+        end(AttemptOutcome.NOT_SENT);
+    }
+
+    boolean isHealthCheck() {
+        return kind == Kind.HEALTH_CHECK;
+    }
+
+    long deadlineMicros() {
+        return deadlineMicros;
+    }
+
+    /** The message to send, made for the time that is left now. */
+    FullHttpRequest createRequest(long nowMicros) {
+        return requestFactory.apply(deadlineMicros - nowMicros);
+    }
+
+    void start(long nowMicros, UpstreamEndpoint listed, Future<?> deadlineTimer) {
+        sentMicros = nowMicros;
+        target = listed;
+        timeout = deadlineTimer;
+    }
+
+    UpstreamEndpoint target() {
+        return target;
+    }
+
+    /** From now on the call uses {@code connection}, which may still be coming up. */
+    void useConnection(Channel connection) {
+        channel = connection;
+    }
+
+    void closeConnection() {
+        if (channel != null) {
+            channel.close();
         }
     }
 
-    public void cancel() {
-        abandon(AttemptOutcome.CANCELLED);
+    void requestWritten() {
+        written = true;
     }
 
-    /** Nobody wants it any more: without its last byte written it has not run, and now it never will. */
-    public void withdraw() {
-        if (!written) {
-            abandon(AttemptOutcome.NOT_SENT);
+    /** Whether the last byte of the request was written. */
+    boolean isWritten() {
+        return written;
+    }
+
+    /** Ends the call unless it has ended, and closes its connection. */
+    void abort(AttemptOutcome abortOutcome) {
+        if (!ended()) {
+            closeConnection();
+            end(abortOutcome);
         }
     }
 
-    /** The hinge of all outcomes: without its last byte written a request has never run. */
-    void broke() {
-        end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null, null);
+    void connectionLost() {
+        end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
-    /** What came is no answer; without its last byte written the request has not run all the same. */
-    void spoilt() {
-        end(written ? AttemptOutcome.MALFORMED_RESPONSE : AttemptOutcome.CONNECT_FAILED, null, null);
+    void malformedResponse() {
+        end(written ? AttemptOutcome.MALFORMED_RESPONSE : AttemptOutcome.CONNECT_FAILED);
     }
 
     void timedOut() {
-        abandon(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
+        abort(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
+    }
+
+    /** Ends the call without a response. */
+    void end(AttemptOutcome finalOutcome) {
+        end(finalOutcome, null, null);
+    }
+
+    /** Ends the call unless it has ended. The listener may retain {@code body}; the caller releases it. */
+    void end(AttemptOutcome finalOutcome, LoadReport loadReport, ByteBuf body) {
+        if (ended()) {
+            return;
+        }
+        outcome = finalOutcome;
+        if (timeout != null) {
+            timeout.cancel(false);
+        }
+        listener.callEnded(this, finalOutcome, loadReport, body);
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCallListener.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCallListener.java
@@ -4,7 +4,15 @@
 import loadbalancer.decision.AttemptOutcome;
 import loadbalancer.decision.LoadReport;
 
-/** Told once how a call ended; {@code body} is set with {@code OK} alone and is released afterwards. */
+/** Notified exactly once of the end of a call, on the event loop of its pool. */
+@FunctionalInterface
 public interface UpstreamCallListener {
-    void ended(UpstreamCall call, AttemptOutcome outcome, LoadReport report, ByteBuf body);
+    /**
+     * The call has ended.
+     *
+     * @param loadReport null where none came, or none that could be read
+     * @param body that of the response where the outcome is {@code OK}, otherwise null; released after this method
+     *     returns unless it is retained
+     */
+    void callEnded(UpstreamCall call, AttemptOutcome outcome, LoadReport loadReport, ByteBuf body);
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -2,215 +2,193 @@
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelPipeline;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.PrematureChannelClosureException;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.AttributeKey;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.util.concurrent.TimeUnit;
-import java.util.function.BiConsumer;
-import loadbalancer.decision.AttemptOutcome;
-import loadbalancer.decision.LoadReport;
 import loadbalancer.proxy.protocol.HeaderNames;
-import loadbalancer.proxy.protocol.LoadReportParser;
 
 /**
- * One connection to an upstream: one call at a time, and what comes back told as its outcome. It is believed as long as
- * all that comes on it belongs to a call; a byte more, and it is closed.
+ * One connection to an endpoint, with one call at a time. It matches the response to the call and stays in use as long
+ * as all that is read belongs to a call; with a byte more it is closed.
+ *
+ * <p>Owned by the event loop of its channel. A response is retained until it was delivered, and released then; a
+ * listener that needs its body longer retains that.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    static final AttributeKey<UpstreamConnection> KEY = AttributeKey.valueOf(UpstreamConnection.class, "connection");
+    /** Gets a connection back whose call has been answered, before the call ends. */
+    @FunctionalInterface
+    interface ReleaseListener {
+        void release(UpstreamCall call, UpstreamConnection connection);
+    }
+
+    private static final AttributeKey<UpstreamConnection> ATTRIBUTE =
+            AttributeKey.valueOf(UpstreamConnection.class, "connection");
 
+    private final Channel channel;
     private final ResponseDecoder decoder = new ResponseDecoder();
-    private final ResponseAggregator answers = new ResponseAggregator(HeaderNames.MAX_RESPONSE_BODY_BYTES);
-    long idleSinceUs;
+    private final ResponseAggregator aggregator = new ResponseAggregator(HeaderNames.MAX_RESPONSE_BODY_BYTES);
+    private final ResponseStallTimer stallTimer;
+    /** Null while no call waits for its response. */
     private UpstreamCall call;
-    private BiConsumer<UpstreamCall, Channel> release;
-    /** The answer to the call, kept until all that came with it has been looked at. */
-    private FullHttpResponse answer;
 
-    private Future<?> stall;
-    /** When a part of an answer came last. */
-    private long readNanos;
+    private ReleaseListener releaseListener;
+    /** The response to the call, kept until all that was read with it has been looked at. */
+    private FullHttpResponse response;
+    /** Something was read that is no response to the call. */
+    private boolean malformed;
+
+    private long idleSinceMicros;
+    private long reusableFromMicros;
+
+    private UpstreamConnection(Channel channel, long stallMicros) {
+        this.channel = channel;
+        stallTimer = new ResponseStallTimer(stallMicros, this::hasPartialResponse, this::failMalformed);
+    }
+
+    /** Gives a new channel its handlers. */
+    static UpstreamConnection install(Channel channel, long stallMicros) {
+        UpstreamConnection connection = new UpstreamConnection(channel, stallMicros);
+        channel.attr(ATTRIBUTE).set(connection);
+        channel.pipeline().addLast(new HttpRequestEncoder(), connection.decoder, connection.aggregator, connection);
+        return connection;
+    }
 
-    private boolean spoilt;
-    private long restUntilUs;
-    /** An answer that has begun and then stops for this long does not end any more. */
-    private final long stallUs;
+    /** The connection of a channel that was installed, even of one that is closed and has lost its handlers. */
+    static UpstreamConnection of(Channel channel) {
+        return channel.attr(ATTRIBUTE).get();
+    }
 
-    private UpstreamConnection(long stallUs) {
-        this.stallUs = stallUs;
+    Channel channel() {
+        return channel;
     }
 
-    static void on(Channel channel, long stallUs) {
-        UpstreamConnection connection = new UpstreamConnection(stallUs);
-        channel.attr(KEY).set(connection);
-        ChannelPipeline p = channel.pipeline();
-        p.addLast(new HttpRequestEncoder(), connection.decoder, connection.answers, connection);
+    void close() {
+        channel.close();
     }
 
-    void begin(UpstreamCall next, BiConsumer<UpstreamCall, Channel> whenFree) {
+    /** What is read from now on is the response to {@code next}. */
+    void begin(UpstreamCall next, ReleaseListener whenAnswered) {
         call = next;
-        release = whenFree;
+        releaseListener = whenAnswered;
+    }
+
+    /**
+     * The connection is idle from now on.
+     *
+     * @param reusableAtMicros the end of the reuse delay
+     */
+    void becomeIdle(long nowMicros, long reusableAtMicros) {
+        idleSinceMicros = nowMicros;
+        reusableFromMicros = reusableAtMicros;
     }
 
-    /** Not to be used before then, and not before what has come by then has been read: a busy loop is late in both. */
-    void restUntil(long timeUs) {
-        restUntilUs = timeUs;
+    long idleSinceMicros() {
+        return idleSinceMicros;
     }
 
-    /** {@code readUs} is when the last whole reading of the sockets began. */
-    boolean rested(long readUs) {
-        return readUs >= restUntilUs;
+    /** Whether an idle connection may still carry a call, now or after its reuse delay. */
+    boolean isUsable(long nowMicros, long idleTimeoutMicros) {
+        return channel.isActive() && !hasUnexpectedData() && nowMicros - idleSinceMicros < idleTimeoutMicros;
     }
 
-    /** Nothing has come since the last answer: what comes next on it can only be meant for the next call. */
-    boolean clean() {
-        return !spoilt && answer == null && !partial();
+    /**
+     * Whether the reuse delay is over and all that came during it has been read; a busy event loop reads late.
+     *
+     * @param lastReadMicros when the last reading of all sockets began
+     */
+    boolean isReuseDelayOver(long lastReadMicros) {
+        return lastReadMicros >= reusableFromMicros;
     }
 
-    private boolean partial() {
-        return decoder.leftOver() || answers.open();
+    /** Whether anything was read after the last response: a further response could be taken for that to a next call. */
+    private boolean hasUnexpectedData() {
+        return malformed || response != null || hasPartialResponse();
+    }
+
+    private boolean hasPartialResponse() {
+        return decoder.hasUndecodedBytes() || aggregator.inProgress();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-        if (call == null || answer != null || !response.decoderResult().isSuccess()) {
-            // Nobody asked, as for a second copy, or no HTTP: it must not become the answer to any request.
-            spoilt = true;
-        } else if (response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-            answer = response.retain();
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse received) {
+        if (call == null || response != null || !received.decoderResult().isSuccess()) {
+            // Unsolicited, as a duplicate is, or no HTTP.
+            malformed = true;
+        } else if (received.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
+            response = received.retain();
         }
     }
 
-    /** Only with all of a read seen is it known whether something came behind the answer. */
+    /** Only when all of a read was decoded is it known whether something follows the response. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (answer != null) {
+        if (response != null) {
             deliver(ctx);
-        } else if (spoilt || call == null && partial()) {
-            spoil(ctx);
-        } else if (partial()) {
-            readNanos = System.nanoTime();
-            if (stall == null) {
-                watch(ctx, stallUs);
-            }
+        } else if (malformed || call == null && hasPartialResponse()) {
+            failMalformed(ctx);
+        } else if (hasPartialResponse()) {
+            stallTimer.recordProgress(ctx);
         }
         ctx.fireChannelReadComplete();
     }
 
-    private void watch(ChannelHandlerContext ctx, long us) {
-        stall = ctx.executor().schedule(() -> look(ctx), us, TimeUnit.MICROSECONDS);
-    }
-
-    /** An answer that comes slowly, piece by piece, is an answer all the same: only one that stands still is none. */
-    private void look(ChannelHandlerContext ctx) {
-        stall = null;
-        long restUs = stallUs - (System.nanoTime() - readNanos) / 1000;
-        if (partial() && restUs <= 0) {
-            spoil(ctx);
-        } else if (partial()) {
-            watch(ctx, restUs);
-        }
-    }
-
     private void deliver(ChannelHandlerContext ctx) {
-        FullHttpResponse response = answer;
-        UpstreamCall current = call;
-        answer = null;
-        call = null;
-        calm();
+        FullHttpResponse delivered = response;
+        response = null;
+        UpstreamCall answered = detachCall();
         try {
-            if (HttpUtil.isKeepAlive(response) && clean() && ctx.channel().isActive()) {
-                release.accept(current, ctx.channel());
+            if (HttpUtil.isKeepAlive(delivered) && !hasUnexpectedData() && channel.isActive()) {
+                releaseListener.release(answered, this);
             } else {
                 ctx.close();
             }
-            tell(current, response);
+            ResponseClassifier.endCall(answered, delivered);
         } finally {
-            response.release();
-        }
-    }
-
-    private static void tell(UpstreamCall current, FullHttpResponse response) {
-        AttemptOutcome outcome = outcome(response);
-        LoadReport report = LoadReportParser.parse(
-                current.reportInBody()
-                        ? response.content().toString(StandardCharsets.UTF_8)
-                        : response.headers().get(HeaderNames.LOAD_REPORT));
-        if (current.reportInBody() && outcome == AttemptOutcome.OK && report == null) {
-            // A probe whose report can't be read tells neither of load nor of a server without reports.
-            outcome = AttemptOutcome.MALFORMED_RESPONSE;
-        }
-        if (!current.written() && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
-            // It can't answer what it has not got: this was meant for somebody else.
-            current.spoilt();
-        } else {
-            current.end(outcome, report, outcome == AttemptOutcome.OK ? response.content() : null);
+            delivered.release();
         }
     }
 
-    private static AttemptOutcome outcome(FullHttpResponse response) {
-        HttpHeaders headers = response.headers();
-        int code = response.status().code();
-        return switch (code) {
-            case 200 -> AttemptOutcome.OK;
-            case 503, 504 -> "1".equals(headers.get(HeaderNames.REJECTED))
-                    ? AttemptOutcome.REJECTED
-                    : AttemptOutcome.ERROR;
-                // What the client sent was no good: that is not the upstream's fault, and no other would like it
-                // better.
-            default -> code >= 400 && code < 500 ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.ERROR;
-        };
-    }
-
-    private void calm() {
-        if (stall != null) {
-            stall.cancel(false);
-            stall = null;
-        }
+    /** Returns the call, or null, and waits for no response to it any more. */
+    private UpstreamCall detachCall() {
+        UpstreamCall detached = call;
+        call = null;
+        stallTimer.cancel();
+        return detached;
     }
 
-    /** No answer that can be told from noise. The request may have run, and the connection is of no more use. */
-    private void spoil(ChannelHandlerContext ctx) {
-        UpstreamCall current = call;
-        call = null;
-        calm();
+    private void failMalformed(ChannelHandlerContext ctx) {
+        UpstreamCall failed = detachCall();
         ctx.close();
-        if (current != null) {
-            current.spoilt();
+        if (failed != null) {
+            failed.malformedResponse();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (answer != null) {
+        if (response != null) {
             deliver(ctx);
         }
-        UpstreamCall current = call;
-        call = null;
-        calm();
-        if (current != null) {
-            current.broke();
+        UpstreamCall lost = detachCall();
+        if (lost != null) {
+            lost.connectionLost();
         }
     }
 
-    /** A connection that broke, or what is no answer: in each case the call is over. */
+    /** A connection that broke is closed, which ends its call; anything else means that no response can be read. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (answer != null) {
-            spoilt = true;
+        if (response != null) {
+            malformed = true;
         } else if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
             ctx.close();
         } else {
-            spoil(ctx);
+            failMalformed(ctx);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -1,319 +1,221 @@
 package loadbalancer.proxy.upstream;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.EncoderException;
 import io.netty.handler.codec.http.FullHttpRequest;
-import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.Iterator;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 import loadbalancer.decision.AttemptOutcome;
-import loadbalancer.decision.EndpointState;
-import loadbalancer.proxy.eventloop.ClientBootstraps;
 import loadbalancer.proxy.eventloop.FaultBarrier;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.TrafficStatistics;
 import loadbalancer.proxy.protocol.EndpointList;
 
-/** Connections to the upstreams, and the calls on them: attempts and probes. */
+/**
+ * Carries calls, attempts and health checks, on connections to the endpoints of the current list. An idle connection is
+ * reused where its reuse delay is over, otherwise a new one is dialed within the limit of open connections. Each
+ * connection carries one call at a time, and each call is written once at most.
+ *
+ * <p>All methods and the listeners of calls run on the event loop that owns the pool and its connections.
+ */
 public final class UpstreamConnectionPool {
-    /** Idle connections are dropped this much before an upstream may drop them: a request then can't cross it. */
-    private static final long IDLE_MARGIN_US = 2_000_000;
-
-    private static final long SWEEP_MS = 1_000;
     /**
-     * A connection rests after its answer before it carries the next request: an upstream that answers twice does so
-     * some milliseconds apart, and a second answer behind the next request would be taken for that one's.
+     * How long after its response a connection carries no further request: an endpoint that sends a response twice does
+     * so some milliseconds apart, and the second would be taken for the response to the next request.
      */
-    public static final long REST_US = 30_000;
-
-    /** An upstream as the list has it now; another address or start makes it another one. */
-    static final class Target {
-        final InetSocketAddress address;
-        final long startedUs;
-        EndpointState state;
-        final ArrayDeque<Channel> idle = new ArrayDeque<>();
+    public static final long REUSE_DELAY_MICROS = 30_000;
 
-        Target(EndpointList.Entry entry) {
-            address = entry.address();
-            startedUs = entry.endpoint().startedMicros();
-        }
+    /** Idle connections are closed this much before an endpoint may do so: no request can cross its closing. */
+    private static final long IDLE_MARGIN_MICROS = 2_000_000;
 
-        boolean is(EndpointList.Entry entry) {
-            return address.equals(entry.address())
-                    && startedUs == entry.endpoint().startedMicros();
-        }
-    }
+    private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final ReadTrackingEventLoop reads;
-    private long idleUs;
-    private long stallUs;
-    private final long restUs;
-    /** How many connections may be open now: what others leave of the descriptors. */
-    private final IntSupplier maxConnections;
-
-    private final TrafficStatistics totals;
-    private final Bootstrap bootstrap;
-    private final Map<String, Target> targets = new HashMap<>();
-    private int connections;
+    private final long reuseDelayMicros;
+    private final UpstreamEndpoints endpoints = new UpstreamEndpoints();
+    private final UpstreamConnector connector;
+    private final UpstreamConnection.ReleaseListener releaseListener = this::release;
+    private long idleTimeoutMicros;
 
+    /**
+     * Starts a pool without endpoints.
+     *
+     * @param reuseDelayMicros {@link #REUSE_DELAY_MICROS}, or 0 to reuse connections at once
+     * @param maxConnections how many connections may be open at the moment, read before each dial
+     */
     public UpstreamConnectionPool(
             ReadTrackingEventLoop reads,
-            long connIdleUs,
-            long restUs,
-            long dialTimeoutUs,
-            long stallUs,
+            UpstreamTimeouts timeouts,
+            long reuseDelayMicros,
             IntSupplier maxConnections,
-            TrafficStatistics totals) {
+            TrafficStatistics statistics) {
         this.reads = reads;
+        this.reuseDelayMicros = reuseDelayMicros;
         loop = reads.eventLoop();
         clock = reads.clock();
-        this.maxConnections = maxConnections;
-        this.totals = totals;
-        this.restUs = restUs;
-        bootstrap = ClientBootstraps.tcp(loop, 1, channel -> UpstreamConnection.on(channel, this.stallUs));
-        updateTimeouts(connIdleUs, dialTimeoutUs, stallUs);
+        connector = new UpstreamConnector(loop, maxConnections, statistics);
+        updateTimeouts(timeouts);
         loop.scheduleWithFixedDelay(
-                () -> FaultBarrier.run("the sweep of idle connections", this::dropIdle),
-                SWEEP_MS,
-                SWEEP_MS,
+                () -> FaultBarrier.run("the sweep of idle connections", this::closeUnusableConnections),
+                SWEEP_INTERVAL_MILLIS,
+                SWEEP_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** For connections from now on, but the idle time, which ends those too that are idle now. */
-    public void updateTimeouts(long connIdleUs, long dialTimeoutUs, long stalledUs) {
-        idleUs = Math.max(connIdleUs / 2, connIdleUs - IDLE_MARGIN_US);
-        stallUs = stalledUs;
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1000));
+    /** The idle timeout holds at once, the others for connections that are dialed from now on. */
+    public void updateTimeouts(UpstreamTimeouts timeouts) {
+        long idleMicros = timeouts.idleMicros();
+        idleTimeoutMicros = Math.max(idleMicros / 2, idleMicros - IDLE_MARGIN_MICROS);
+        connector.updateTimeouts(timeouts);
     }
 
-    /** Connections to what drained, went or is now another process are of no more use. */
+    /** Applies a list; idle connections to endpoints that drain, are removed or were restarted are closed. */
     public void updateEndpoints(EndpointList list) {
-        Set<String> named = new HashSet<>();
-        for (EndpointList.Entry e : list.entries()) {
-            String id = e.endpoint().id();
-            named.add(id);
-            Target t = targets.get(id);
-            if (t == null || !t.is(e)) {
-                forget(t);
-                t = new Target(e);
-                targets.put(id, t);
-            }
-            t.state = e.endpoint().state();
-            if (t.state != EndpointState.READY) {
-                closeIdleConnections(t);
-            }
-            if (t.state == EndpointState.REMOVED) {
-                // Its successors come under new ids: kept, the map would grow with each of them.
-                targets.remove(id);
-            }
-        }
-        if (list.fullSnapshot()) {
-            targets.entrySet().removeIf(e -> {
-                if (named.contains(e.getKey())) {
-                    return false;
-                }
-                forget(e.getValue());
-                return true;
-            });
-        }
+        endpoints.update(list);
     }
 
-    /** How many upstreams are kept. */
     int endpointCount() {
-        return targets.size();
+        return endpoints.size();
     }
 
-    /** How many connections are open or coming up. */
-    public int openConnections() {
-        return connections;
+    public boolean hasReadyEndpoint() {
+        return endpoints.hasReady();
     }
 
-    public boolean hasReadyEndpoint() {
-        return targets.values().stream().anyMatch(t -> t.state == EndpointState.READY);
+    /** How many connections are open or coming up. */
+    public int openConnections() {
+        return connector.openConnections();
     }
 
-    private void forget(Target t) {
-        if (t != null) {
-            t.state = EndpointState.REMOVED;
-            closeIdleConnections(t);
+    public void closeIdleConnections(String endpointId) {
+        UpstreamEndpoint endpoint = endpoints.get(endpointId);
+        if (endpoint != null) {
+            endpoint.idleConnections().closeAll();
         }
     }
 
-    private void closeIdleConnections(Target t) {
-        for (Channel c; (c = t.idle.poll()) != null; ) {
-            c.close();
+    /** Closes the connection that has been idle for longest; false where every connection is in use. */
+    public boolean closeOldestIdleConnection() {
+        IdleConnections oldest = null;
+        for (UpstreamEndpoint endpoint : endpoints.all()) {
+            IdleConnections idle = endpoint.idleConnections();
+            if (!idle.isEmpty() && (oldest == null || idle.oldestIdleSinceMicros() < oldest.oldestIdleSinceMicros())) {
+                oldest = idle;
+            }
         }
+        if (oldest == null) {
+            return false;
+        }
+        oldest.closeOldest();
+        return true;
     }
 
-    public void closeIdleConnections(String upstream) {
-        Target t = targets.get(upstream);
-        if (t != null) {
-            closeIdleConnections(t);
+    private void closeUnusableConnections() {
+        long now = clock.nowMicros();
+        for (UpstreamEndpoint endpoint : endpoints.all()) {
+            endpoint.idleConnections().closeUnusable(now, idleTimeoutMicros);
         }
     }
 
+    /** Starts a call. It ends at once where its endpoint is not ready, and otherwise by its deadline. */
     public void startCall(UpstreamCall call) {
         long now = clock.nowMicros();
-        call.sentAt(now);
-        call.target = targets.get(call.upstream());
-        if (call.target == null || call.target.state != EndpointState.READY) {
-            call.end(AttemptOutcome.NOT_SENT, null, null);
+        UpstreamEndpoint endpoint = endpoints.get(call.endpoint());
+        if (endpoint == null || !endpoint.isReady()) {
+            call.endUnsent(now);
             return;
         }
-        call.timeout = loop.schedule(call::timedOut, call.untilUs - now, TimeUnit.MICROSECONDS);
-        reads.afterPendingReads(() -> begin(call));
+        long timeoutMicros = call.deadlineMicros() - now;
+        call.start(now, endpoint, loop.schedule(call::timedOut, timeoutMicros, TimeUnit.MICROSECONDS));
+        // What is read first may end the call, change its endpoint or close an idle connection.
+        reads.afterPendingReads(() -> assignConnection(call));
     }
 
-    /** Unless it was withdrawn, or its upstream changed, while what else had come was read. */
-    private void begin(UpstreamCall call) {
-        if (mayBegin(call)) {
-            Channel channel = takeIdle(call.target, clock.nowMicros());
-            if (channel != null) {
-                call.channel = channel;
-                write(call);
-            } else {
-                connect(call);
-            }
+    private void assignConnection(UpstreamCall call) {
+        if (!mayBeSent(call)) {
+            return;
         }
-    }
-
-    /** False where it is over, or ends here: the list changed or time ran out, and nothing may be sent any more. */
-    private boolean mayBegin(UpstreamCall call) {
-        boolean ready = call.target.state == EndpointState.READY;
-        if (!call.ended() && (!ready || clock.nowMicros() >= call.untilUs)) {
-            call.abandon(ready ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT);
+        UpstreamConnection idle =
+                call.target().idleConnections().take(clock.nowMicros(), reads.lastReadMicros(), idleTimeoutMicros);
+        if (idle == null) {
+            connect(call);
+        } else {
+            call.useConnection(idle.channel());
+            write(call, idle);
         }
-        return !call.ended();
     }
 
-    /** The most recently used first of those that have rested, so that the others grow old enough to be dropped. */
-    private Channel takeIdle(Target t, long now) {
-        for (Iterator<Channel> i = t.idle.iterator(); i.hasNext(); ) {
-            Channel c = i.next();
-            boolean usable = usable(c, now);
-            if (usable && !connection(c).rested(reads.lastReadMicros())) {
-                continue;
-            }
-            i.remove();
-            if (usable) {
-                return c;
-            }
-            c.close();
+    /** False where the call has ended, or ends here as its endpoint is no longer ready or its deadline has passed. */
+    private boolean mayBeSent(UpstreamCall call) {
+        if (call.ended()) {
+            return false;
         }
-        return null;
-    }
-
-    private boolean usable(Channel c, long now) {
-        return c.isActive() && connection(c).clean() && now - connection(c).idleSinceUs < idleUs;
-    }
-
-    private static UpstreamConnection connection(Channel c) {
-        // Not from the pipeline, which has lost its handlers once the other side has closed.
-        return c.attr(UpstreamConnection.KEY).get();
+        if (!call.target().isReady()) {
+            call.abort(AttemptOutcome.NOT_SENT);
+        } else if (clock.nowMicros() >= call.deadlineMicros()) {
+            call.abort(AttemptOutcome.CONNECT_FAILED);
+        }
+        return !call.ended();
     }
 
     private void connect(UpstreamCall call) {
-        if (connections >= maxConnections.getAsInt() && !closeOldestIdleConnection()) {
-            call.end(AttemptOutcome.NOT_SENT, null, null);
+        if (!connector.hasRoom() && !closeOldestIdleConnection()) {
+            call.end(AttemptOutcome.NOT_SENT);
             return;
         }
-        connections++;
-        totals.upstreamConnectionOpened();
-        ChannelFuture connecting = bootstrap.connect(call.target.address);
-        call.channel = connecting.channel();
-        connecting.addListener(f -> {
-            // One that could not even be opened, for want of descriptors, never closes: it must not count for ever.
-            if (f.isSuccess()) {
-                call.channel.closeFuture().addListener(closed -> connections--);
-            } else {
-                connections--;
-            }
+        ChannelFuture connecting = connector.connect(call.target().address());
+        Channel channel = connecting.channel();
+        call.useConnection(channel);
+        connecting.addListener(connected -> {
             if (call.ended()) {
-                call.channel.close();
-            } else if (!f.isSuccess()) {
-                call.broke();
+                channel.close();
+            } else if (!connected.isSuccess()) {
+                call.connectionLost();
             } else {
-                reads.afterPendingReads(() -> {
-                    if (mayBegin(call)) {
-                        write(call);
-                    }
-                });
+                reads.afterPendingReads(() -> writeIfStillWanted(call, channel));
             }
         });
     }
 
-    /** False where every connection is in use. */
-    public boolean closeOldestIdleConnection() {
-        Target oldest = null;
-        for (Target t : targets.values()) {
-            if (!t.idle.isEmpty()
-                    && (oldest == null
-                            || connection(t.idle.peekLast()).idleSinceUs
-                                    < connection(oldest.idle.peekLast()).idleSinceUs)) {
-                oldest = t;
-            }
+    private void writeIfStillWanted(UpstreamCall call, Channel channel) {
+        if (mayBeSent(call)) {
+            write(call, UpstreamConnection.of(channel));
         }
-        if (oldest != null) {
-            oldest.idle.pollLast().close();
-        }
-        return oldest != null;
     }
 
-    private void write(UpstreamCall call) {
-        FullHttpRequest message = call.message.apply(call.untilUs - clock.nowMicros());
-        message.headers()
+    private void write(UpstreamCall call, UpstreamConnection connection) {
+        FullHttpRequest request = call.createRequest(clock.nowMicros());
+        request.headers()
                 .set("Host", "api.internal")
-                .set("Content-Length", message.content().readableBytes());
-        connection(call.channel).begin(call, this::release);
-        call.channel.writeAndFlush(message).addListener(f -> {
-            if (f.isSuccess()) {
-                call.written = true;
+                .set("Content-Length", request.content().readableBytes());
+        connection.begin(call, releaseListener);
+        connection.channel().writeAndFlush(request).addListener(written -> {
+            if (written.isSuccess()) {
+                call.requestWritten();
             } else {
-                call.channel.close();
-                // What can't be put into words is its client's fault: no upstream has seen it.
-                call.end(
-                        f.cause() instanceof EncoderException
-                                ? AttemptOutcome.INVALID_REQUEST
-                                : AttemptOutcome.CONNECT_FAILED,
-                        null,
-                        null);
+                connection.close();
+                call.end(writeFailure(written.cause()));
             }
         });
     }
 
-    private void release(UpstreamCall call, Channel channel) {
-        if (call.target.state == EndpointState.READY && call.written) {
-            connection(channel).idleSinceUs = clock.nowMicros();
-            connection(channel).restUntil(restUs > 0 ? clock.nowMicros() + restUs : 0);
-            call.target.idle.addFirst(channel);
-        } else {
-            channel.close();
-        }
+    /** A request that can't be encoded is its client's fault; either way the endpoint has not got it. */
+    private static AttemptOutcome writeFailure(Throwable cause) {
+        return cause instanceof EncoderException ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.CONNECT_FAILED;
     }
 
-    private void dropIdle() {
-        long now = clock.nowMicros();
-        for (Target t : targets.values()) {
-            t.idle.removeIf(c -> {
-                boolean drop = !usable(c, now);
-                if (drop) {
-                    c.close();
-                }
-                return drop;
-            });
+    private void release(UpstreamCall call, UpstreamConnection connection) {
+        if (!call.target().isReady() || !call.isWritten()) {
+            connection.close();
+            return;
         }
+        long now = clock.nowMicros();
+        connection.becomeIdle(now, reuseDelayMicros > 0 ? now + reuseDelayMicros : 0);
+        call.target().idleConnections().add(connection);
     }
 }
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -173,7 +173,7 @@
             if (r.id().startsWith("warm")) {
                 out.sendAttempt(r.id(), "u1", 0);
             } else if (r.id().startsWith("rest")) {
-                out.startTimer("rested", 2 * UpstreamConnectionPool.REST_US);
+                out.startTimer("rested", 2 * UpstreamConnectionPool.REUSE_DELAY_MICROS);
                 out.fail(r.id());
             } else {
                 usual.take(now, r, out);
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -24,6 +24,7 @@
 import loadbalancer.proxy.testing.SidecarFixture;
 import loadbalancer.proxy.testing.StubServer;
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
+import loadbalancer.proxy.upstream.UpstreamTimeouts;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -57,7 +58,11 @@
                                     }),
                             null);
                     upstreams = new UpstreamConnectionPool(
-                            reads, 15_000_000, 0, 2_000_000, 20_000, () -> 100, new TrafficStatistics());
+                            reads,
+                            new UpstreamTimeouts(15_000_000, 2_000_000, 20_000),
+                            0,
+                            () -> 100,
+                            new TrafficStatistics());
                     requests = new RequestDispatcher(loop, clock, decisions, upstreams, 4, new TrafficStatistics());
                 })
                 .sync();
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -44,7 +44,11 @@
 
     private UpstreamConnectionPool upstreams(long idleUs, int most, long restUs) throws Exception {
         return loop.submit(() -> new UpstreamConnectionPool(
-                        reads, idleUs, restUs, 2_000_000, 20_000, () -> most, new TrafficStatistics()))
+                        reads,
+                        new UpstreamTimeouts(idleUs, 2_000_000, 20_000),
+                        restUs,
+                        () -> most,
+                        new TrafficStatistics()))
                 .get();
     }
 
@@ -54,10 +58,9 @@
     }
 
     private UpstreamCall call(String upstream) {
-        return new UpstreamCall(
+        return UpstreamCall.attempt(
                 upstream,
                 clock.nowMicros() + 20_000_000,
-                false,
                 left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
                 (c, outcome, report, body) -> outcomes.add(upstream + " " + outcome));
     }
@@ -270,8 +273,7 @@
     void anAnswerBeforeTheRequestIsOutIsNoAnswer() {
         for (String status : new String[] {"200 OK", "500 No"}) {
             EmbeddedChannel channel = new EmbeddedChannel();
-            UpstreamConnection.on(channel, 20_000);
-            channel.attr(UpstreamConnection.KEY).get().begin(call("u"), (call, c) -> c.close());
+            UpstreamConnection.install(channel, 20_000).begin(call("u"), (call, connection) -> connection.close());
             channel.writeInbound(Unpooled.copiedBuffer(
                     "HTTP/1.1 " + status + "\r\nContent-Length: 2\r\n\r\nok", StandardCharsets.US_ASCII));
             assertEquals("u CONNECT_FAILED", outcomes.poll());
