--- a/src/test/java/loadbalancer/proxy/discovery/ExponentialBackoffTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/ExponentialBackoffTest.java
@@ -12,14 +12,14 @@
     }
 
     @Test
-    void theFirstFailureCostsNoPauseAndLaterOnesEverMoreUpToTheMost() {
+    void theFirstFailureCostsNoPauseAndLaterPausesDoubleUpToTheMaximum() {
         assertArrayEquals(
                 new long[] {0, 20, 40, 80, 100, 100}, pauses(new ExponentialBackoff(20, 100, bound -> bound - 1)));
         assertArrayEquals(new long[] {0, 10, 20, 40, 50, 50}, pauses(new ExponentialBackoff(20, 100, bound -> 0)));
     }
 
     @Test
-    void aSuccessBeginsAnew() {
+    void aSuccessResetsThePauses() {
         ExponentialBackoff backoff = new ExponentialBackoff(20, 100, bound -> 0);
         pauses(backoff);
         backoff.reset();
--- a/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
+++ b/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
@@ -14,49 +14,50 @@
 @Timeout(60)
 class GossipTransportTest {
     private static DatagramSocket socket() throws Exception {
-        DatagramSocket s = new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-        s.setSoTimeout(20_000);
-        return s;
+        DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+        socket.setSoTimeout(20_000);
+        return socket;
+    }
+
+    private static DatagramPacket receive(DatagramSocket socket) throws Exception {
+        DatagramPacket packet = new DatagramPacket(new byte[1000], 1000);
+        socket.receive(packet);
+        return packet;
     }
 
     @Test
-    void onlyPeersAreHeardAndOnlyWhatFits() throws Exception {
+    void onlyDatagramsOfPeersWithinTheLimitArePassedOn() throws Exception {
         try (DatagramSocket peer = socket();
                 DatagramSocket stranger = socket();
                 DatagramSocket everyone = socket();
-                SidecarFixture rig = new SidecarFixture()) {
-            rig.gossipFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
+                SidecarFixture fixture = new SidecarFixture()) {
+            fixture.gossipFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
-            rig.onRequest = (now, r, out) -> {
+            fixture.onRequest = (now, request, out) -> {
                 out.sendGossip(1, new byte[5]);
                 out.sendGossip(7, new byte[5]);
                 out.sendGossip(1, new byte[257]);
                 out.sendGossip(1, new byte[256]);
                 out.sendGossip(-1, new byte[7]);
-                out.fail(r.id());
+                out.fail(request.id());
             };
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
                 assertEquals(502, client.status());
             }
-            DatagramPacket got = new DatagramPacket(new byte[1000], 1000);
-            peer.receive(got);
-            assertEquals(5, got.getLength());
-            InetSocketAddress sidecar = (InetSocketAddress) got.getSocketAddress();
-            got.setLength(1000);
-            peer.receive(got);
-            assertEquals(256, got.getLength());
-            got.setLength(1000);
-            everyone.receive(got);
-            assertEquals(7, got.getLength());
+            DatagramPacket first = receive(peer);
+            assertEquals(5, first.getLength());
+            assertEquals(256, receive(peer).getLength());
+            assertEquals(7, receive(everyone).getLength());
 
+            InetSocketAddress sidecar = (InetSocketAddress) first.getSocketAddress();
             stranger.send(new DatagramPacket(new byte[3], 3, sidecar));
             peer.send(new DatagramPacket(new byte[257], 257, sidecar));
             peer.send(new DatagramPacket(new byte[0], 0, sidecar));
             peer.send(new DatagramPacket(new byte[256], 256, sidecar));
-            assertEquals("peer 1 0", rig.await("peer"));
-            assertEquals("peer 1 256", rig.await("peer"));
+            assertEquals("peer 1 0", fixture.await("peer"));
+            assertEquals("peer 1 256", fixture.await("peer"));
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/protocol/HeaderValuesTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/HeaderValuesTest.java
@@ -9,21 +9,21 @@
 import org.junit.jupiter.api.Test;
 
 class HeaderValuesTest {
-    private static final Pattern WORD = Pattern.compile("[\\x21-\\x7e]{1,128}");
-    private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
+    private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,128}");
+    private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,9}");
     private static final Pattern HEX = Pattern.compile("[0-9a-fA-F]{1,16}");
     private static final Pattern TARGET = Pattern.compile("/[\\x21-\\x7e]{0,4095}");
 
-    /** The patterns say what is meant; texts near the edges of each are drawn from one seed. */
+    /** Texts near the edges of each pattern, drawn from one seed. */
     @Test
-    void theChecksAgreeWithThePatternsTheyStandFor() {
+    void theChecksAgreeWithTheirPatterns() {
         Random random = new Random(16);
         String alphabet = "09afAFgG/!~ \t\u007f\u00e9\u0660x?";
         for (int i = 0; i < 20_000; i++) {
             StringBuilder text = new StringBuilder(random.nextInt(3) == 0 ? "/" : "");
-            int kinds = 1 + random.nextInt(alphabet.length());
-            for (int left = random.nextInt(20); left > 0; left--) {
-                text.append(alphabet.charAt(random.nextInt(kinds)));
+            int distinct = 1 + random.nextInt(alphabet.length());
+            for (int remaining = random.nextInt(20); remaining > 0; remaining--) {
+                text.append(alphabet.charAt(random.nextInt(distinct)));
             }
             check(text.toString());
         }
@@ -34,10 +34,12 @@
     }
 
     private static void check(String text) {
-        assertEquals(WORD.matcher(text).matches(), HeaderValues.isToken(text), text);
+        assertEquals(TOKEN.matcher(text).matches(), HeaderValues.isToken(text), text);
         assertEquals(TARGET.matcher(text).matches(), HeaderValues.isRequestTarget(text), text);
         assertEquals(
-                WHOLE.matcher(text).matches() ? Long.parseLong(text) : -1, HeaderValues.parseWholeNumber(text), text);
+                WHOLE_NUMBER.matcher(text).matches() ? Long.parseLong(text) : -1,
+                HeaderValues.parseWholeNumber(text),
+                text);
         assertEquals(
                 HEX.matcher(text).matches() ? Long.parseUnsignedLong(text, 16) : text.hashCode(),
                 HeaderValues.parseHexOrHash(text),
@@ -55,7 +57,7 @@
     }
 
     @Test
-    void whatCouldBeReadTwoWaysIsNoWord() {
+    void textThatCouldBeReadInTwoWaysIsNoToken() {
         assertTrue(HeaderValues.isToken("a-1"));
         assertFalse(HeaderValues.isToken("a b"));
     }
--- a/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
@@ -23,23 +23,25 @@
         assertEquals(9_007_199_254_740_993L, json.number("big"));
         assertEquals(
                 List.of(1L, 2L),
-                json.objects("list").stream().map(o -> o.number("i")).toList());
+                json.objects("list").stream()
+                        .map(element -> element.number("i"))
+                        .toList());
         assertFalse(json.flag("flag"));
         assertEquals(List.of("p", "q"), json.textsOrNone("texts"));
         assertEquals("2", json.flat().get("list.count"));
     }
 
-    /** Each gets an exception of the one kind that is handled, whatever it is cut off in. */
+    /** Callers handle one type of exception, wherever a text is cut off. */
     @Test
-    void whatIsNoObjectIsRefused() {
-        String whole = "{\"a\":[1,{\"b\":\"c\"}],\"d\":true}";
-        for (int cut = 0; cut < whole.length(); cut++) {
-            String text = whole.substring(0, cut);
-            assertThrows(IllegalArgumentException.class, () -> parse(text), text);
+    void malformedTextIsRejected() {
+        String complete = "{\"a\":[1,{\"b\":\"c\"}],\"d\":true}";
+        for (int cut = 0; cut < complete.length(); cut++) {
+            String text = complete.substring(0, cut);
+            assertThrows(MalformedJsonException.class, () -> parse(text), text);
         }
         for (String text : List.of(
                 "[]", "1", "null", "{\"a\":}", "{a:1}", "{\"a\":1,}", "[".repeat(5_000), "{\"a\":".repeat(5_000))) {
-            assertThrows(IllegalArgumentException.class, () -> parse(text), text);
+            assertThrows(MalformedJsonException.class, () -> parse(text), text);
         }
     }
 }
