--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -14,74 +14,89 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What an upstream does, and the outcome that the module is told. */
+/** What an endpoint does, and the outcome that the decision module gets. */
 @Timeout(60)
 class AttemptOutcomeTest {
-    private static void outcome(String expected, int status, StubServer.Script script) throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream(script);
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    private static void assertOutcome(String expected, int status, StubServer.Script script) throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream(script);
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 " + expected, rig.await("outcome"));
+                assertEquals("outcome a1 0 " + expected, fixture.await("outcome"));
                 assertEquals(status, client.status());
             }
         }
     }
 
-    private static void spoilt(String answer) throws Exception {
+    private static void assertMalformed(String response) throws Exception {
         try {
-            outcome("MALFORMED_RESPONSE false -", 502, (m, line) -> line.write(answer));
+            assertOutcome("MALFORMED_RESPONSE false -", 502, (request, connection) -> connection.write(response));
         } catch (AssertionError e) {
             throw new AssertionError(
-                    "taken for an answer: " + answer.lines().limit(4).toList(), e);
+                    "taken for a response: " + response.lines().limit(4).toList(), e);
         }
     }
 
     @Test
-    void aServedAnswerCarriesItsLoadReport() throws Exception {
-        outcome(
+    void aServedResponseCarriesItsLoadReport() throws Exception {
+        assertOutcome(
                 "OK true 7.0",
                 200,
-                (m, line) -> line.answer("200 OK", "X-Pressure: TEXT inflight=7, queue=2, util=0.61\r\n", "slot"));
+                (request, connection) ->
+                        connection.answer("200 OK", "X-Pressure: TEXT inflight=7, queue=2, util=0.61\r\n", "slot"));
     }
 
     @Test
-    void malformedLoadReportsAreNoReports() throws Exception {
+    void malformedLoadReportsAreIgnored() throws Exception {
         for (String report : new String[] {
             "TEXT inflight=", "TEXT inflight=NaN", "TEXT inflight=-1", "TEXT inflight=1e300, queue=0", "JSON {}", "TEXT"
         }) {
-            outcome("OK true -", 200, (m, line) -> line.answer("200 OK", "X-Pressure: " + report + "\r\n", "slot"));
+            assertOutcome(
+                    "OK true -",
+                    200,
+                    (request, connection) -> connection.answer("200 OK", "X-Pressure: " + report + "\r\n", "slot"));
         }
     }
 
     @Test
-    void onlyAnAnswerSaidToBeTurnedAwayProvesThatNothingRan() throws Exception {
-        outcome("REJECTED false -", 502, (m, line) -> line.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
-        outcome("REJECTED false -", 502, (m, line) -> line.answer("504 Late", "X-Turned-Away: 1\r\n", ""));
-        outcome("ERROR false -", 502, (m, line) -> line.answer("503 Busy", "", ""));
-        outcome("ERROR false -", 502, (m, line) -> line.answer("500 Oops", "X-Turned-Away: 1\r\n", ""));
-        outcome("ERROR false -", 502, (m, line) -> line.answer("302 Found", "", ""));
+    void onlyAResponseMarkedAsRejectedProvesThatNothingRan() throws Exception {
+        assertOutcome(
+                "REJECTED false -",
+                502,
+                (request, connection) -> connection.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
+        assertOutcome(
+                "REJECTED false -",
+                502,
+                (request, connection) -> connection.answer("504 Late", "X-Turned-Away: 1\r\n", ""));
+        assertOutcome("ERROR false -", 502, (request, connection) -> connection.answer("503 Busy", "", ""));
+        assertOutcome(
+                "ERROR false -",
+                502,
+                (request, connection) -> connection.answer("500 Oops", "X-Turned-Away: 1\r\n", ""));
+        assertOutcome("ERROR false -", 502, (request, connection) -> connection.answer("302 Found", "", ""));
     }
 
     @Test
-    void whatBreaksAfterTheRequestWasWrittenIsAReset() throws Exception {
-        outcome("RESET false -", 502, (m, line) -> line.reset());
-        outcome("RESET false -", 502, (m, line) -> line.socket().close());
-        outcome("RESET false -", 502, (m, line) -> {
-            line.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-            line.socket().close();
+    void aConnectionLostAfterTheRequestWasWrittenIsAReset() throws Exception {
+        assertOutcome("RESET false -", 502, (request, connection) -> connection.reset());
+        assertOutcome("RESET false -", 502, (request, connection) -> connection
+                .socket()
+                .close());
+        assertOutcome("RESET false -", 502, (request, connection) -> {
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+            connection.socket().close();
         });
     }
 
     /**
-     * Whatever can't be told from an answer cut short, or from noise, must not be served. The connection stays open at
-     * the other end, so each of these has to be noticed without its help and long before the deadline.
+     * A response that may be cut short, or is none, must not be served. The endpoint keeps the connection open, so each
+     * of these has to be noticed here and long before the deadline.
      */
     @Test
-    void whatIsNoAnswerIsSpoiltAndServedToNobody() throws Exception {
+    void malformedResponsesAreServedToNobody() throws Exception {
         String ok = "HTTP/1.1 200 OK\r\n";
-        for (String answer : new String[] {
+        for (String response : new String[] {
             "this is no HTTP at all\r\n\r\n",
             "noise without a line's end",
             ok + "X-Endless: ",
@@ -101,167 +116,169 @@
             "HTTP/1.1 101 Switching Protocols\r\nUpgrade: odd\r\nConnection: upgrade\r\n\r\nslot",
             "HTTP/9.9 twohundred OK\r\nContent-Length: 4\r\n\r\nslot"
         }) {
-            spoilt(answer);
+            assertMalformed(response);
         }
-        outcome("MALFORMED_RESPONSE false -", 502, (m, line) -> {
-            line.write(ok + "\r\nslot");
-            line.socket().close();
+        assertOutcome("MALFORMED_RESPONSE false -", 502, (request, connection) -> {
+            connection.write(ok + "\r\nslot");
+            connection.socket().close();
         });
     }
 
-    /** What comes behind an answer belongs to no request: it must not become the answer to the next one. */
+    /** Bytes after a response belong to no request: they must not become the response to the next one. */
     @Test
-    void whatComesBehindAnAnswerIsServedToNobody() throws Exception {
-        for (String behind : new String[] {
+    void bytesAfterAResponseAreServedToNobody() throws Exception {
+        for (String trailing : new String[] {
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
             "noise",
             "noise\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Le"
         }) {
-            try (SidecarFixture rig = new SidecarFixture()) {
-                StubServer up = rig.upstream((m, line) ->
-                        line.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + m.header("X-Txn") + behind));
-                rig.start();
-                try (StubServer.Client client = rig.client()) {
+            try (SidecarFixture fixture = new SidecarFixture()) {
+                StubServer server = fixture.upstream((request, connection) -> connection.write(
+                        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("X-Txn") + trailing));
+                fixture.start();
+                try (StubServer.Client client = fixture.client()) {
                     for (String id : new String[] {"a1", "a2", "a3"}) {
                         client.send(SidecarFixture.get(id, 20_000));
                         assertEquals(id, client.answer().body());
                     }
-                    assertEquals(3, up.accepted.size(), "a connection with something left on it was used again");
+                    assertEquals(3, server.accepted.size(), "a connection with unread bytes was reused");
                 }
             }
         }
     }
 
-    /** A request that an upstream can't use is its client's fault: nothing to hold against the upstream. */
+    /** A request that an endpoint can't use is its client's fault and no error of the endpoint. */
     @Test
-    void aRequestFoundToBeNoGoodIsToldApartFromAnError() throws Exception {
-        outcome("INVALID_REQUEST false -", 502, (m, line) -> line.answer("400 Bad Request", "", ""));
-        outcome("INVALID_REQUEST false -", 502, (m, line) -> line.answer("404 Not Found", "", ""));
+    void aRequestFoundInvalidIsNoError() throws Exception {
+        assertOutcome(
+                "INVALID_REQUEST false -", 502, (request, connection) -> connection.answer("400 Bad Request", "", ""));
+        assertOutcome(
+                "INVALID_REQUEST false -", 502, (request, connection) -> connection.answer("404 Not Found", "", ""));
     }
 
-    /** Slow is not spoilt: pieces with pauses between them, longer together than any one may stand still. */
+    /** Slow is not malformed: the pauses between the pieces exceed the stall timeout together, none does alone. */
     @Test
-    void anAnswerThatComesInPiecesIsWaitedFor() throws Exception {
-        outcome("OK true -", 200, (m, line) -> {
+    void aResponseThatComesInPiecesIsAwaited() throws Exception {
+        assertOutcome("OK true -", 200, (request, connection) -> {
             for (String piece : "HTTP/1.1 200 OK|\r\nContent-|Length: 4\r\n|\r\ns|l|o|t".split("[|]")) {
-                line.write(piece);
+                connection.write(piece);
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
             }
         });
     }
 
-    /** An interim answer is not the answer. */
     @Test
-    void interimAnswersAreWaitedThrough() throws Exception {
-        outcome("OK true -", 200, (m, line) -> {
-            line.write("HTTP/1.1 100 Continue\r\n\r\n");
-            line.write("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-            line.answer("200 OK", "", "slot");
+    void interimResponsesAreSkipped() throws Exception {
+        assertOutcome("OK true -", 200, (request, connection) -> {
+            connection.write("HTTP/1.1 100 Continue\r\n\r\n");
+            connection.write("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
+            connection.answer("200 OK", "", "slot");
         });
     }
 
     @Test
-    void aRefusedConnectionCouldNotConnect() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {}).close();
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void aRefusedConnectionIsAFailureToConnect() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((request, connection) -> {}).close();
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.await("outcome"));
+                assertEquals("outcome a1 0 CONNECT_FAILED false -", fixture.await("outcome"));
             }
         }
     }
 
-    /** A late answer to a call given up must find nobody, so the connection may not be used again. */
+    /** A late response to a call that was given up must reach nobody, so the connection may not be reused. */
     @Test
-    void aTimeOutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer up = rig.upstream((m, line) -> {});
-            rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", now + 100_000);
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void aTimeoutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer server = fixture.upstream((request, connection) -> {});
+            fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 100_000);
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
-                assertEquals(-1, up.accepted.take().getInputStream().read(), "the connection was left open");
+                assertEquals("outcome a1 0 TIMEOUT false -", fixture.await("outcome"));
+                assertEquals(-1, server.accepted.take().getInputStream().read(), "the connection was left open");
                 assertEquals(502, client.status());
-                up.script = (m, line) -> line.answer("200 OK", "", "fresh");
-                rig.onRequest = (now, r, out) -> out.sendAttempt(r.id(), "u0", 0);
+                server.script = (request, connection) -> connection.answer("200 OK", "", "fresh");
+                fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
                 client.send(SidecarFixture.get("a2", 20_000));
                 assertEquals("fresh", client.answer().body());
-                assertNotNull(up.accepted.poll(20, TimeUnit.SECONDS));
+                assertNotNull(server.accepted.poll(20, TimeUnit.SECONDS));
             }
         }
     }
 
     @Test
     void aCancelledAttemptClosesItsConnection() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> {});
-            rig.onRequest = (now, r, out) -> {
-                out.sendAttempt(r.id(), "u0", 0);
-                out.cancelAttempt(r.id(), 0);
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((request, connection) -> {});
+            fixture.onRequest = (now, request, out) -> {
+                out.sendAttempt(request.id(), "u0", 0);
+                out.cancelAttempt(request.id(), 0);
             };
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 CANCELLED false -", rig.await("outcome"));
+                assertEquals("outcome a1 0 CANCELLED false -", fixture.await("outcome"));
             }
         }
     }
 
-    /** No library and no pool may send a request again by itself: the stale connection's end is an outcome. */
+    /** Neither the library nor the pool may send a request twice: the loss of a stale connection is an outcome. */
     @Test
-    void aStaleConnectionIsAResetAndNothingIsResent() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            Set<Socket> used = ConcurrentHashMap.newKeySet();
-            StubServer up = rig.upstream((m, line) -> {
-                if (used.add(line.socket())) {
-                    line.answer("200 OK", "", "one");
+    void aStaleConnectionIsAResetWithoutARetry() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            Set<Socket> usedSockets = ConcurrentHashMap.newKeySet();
+            StubServer server = fixture.upstream((request, connection) -> {
+                if (usedSockets.add(connection.socket())) {
+                    connection.answer("200 OK", "", "one");
                 } else {
-                    line.reset();
+                    connection.reset();
                 }
             });
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 int calls = 0;
                 String outcome;
-                // The first that goes over a connection used before, and rested since, meets its end.
+                // The first call on a connection that is reused meets the reset.
                 do {
                     client.send(SidecarFixture.get("a" + ++calls, 20_000));
-                    outcome = rig.await("outcome a" + calls);
+                    outcome = fixture.await("outcome a" + calls);
                     assertEquals(outcome.contains(" OK ") ? 200 : 502, client.status());
                 } while (outcome.contains(" OK "));
                 assertEquals("outcome a" + calls + " 0 RESET false -", outcome);
-                assertEquals(calls, up.messages.size());
-                assertEquals(calls - 1, up.accepted.size(), "the last call did not use an idle connection");
+                assertEquals(calls, server.messages.size());
+                assertEquals(calls - 1, server.accepted.size(), "the last call did not use an idle connection");
             }
         }
     }
 
-    /** Where an upstream says that it closes, a call written to that connection would end as a reset. */
+    /** A call written to a connection that the endpoint announced to close would end as a reset. */
     @Test
-    void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer up = rig.upstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void aConnectionThatTheEndpointClosesIsNotReused() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer server = fixture.upstream(
+                    (request, connection) -> connection.answer("200 OK", "Connection: close\r\n", "one"));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 for (String id : new String[] {"a1", "a2"}) {
                     client.send(SidecarFixture.get(id, 20_000));
                     assertEquals(200, client.status());
                 }
-                assertEquals(2, up.accepted.size());
+                assertEquals(2, server.accepted.size());
             }
         }
     }
 
-    /** Upstreams send more than the protocol says; refused, such an answer is refused from each of them in turn. */
+    /** Endpoints send more than the protocol says; such a response would be rejected from each of them in turn. */
     @Test
-    void aLargeAnswerPasses() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "z".repeat(400_000)));
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void aLargeResponsePasses() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.upstream((request, connection) -> connection.answer("200 OK", "", "z".repeat(400_000)));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
                 assertEquals(400_000, client.answer().body().length());
             }
@@ -269,24 +286,24 @@
     }
 
     @Test
-    void requestAndAnswerPassUnchanged() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture()) {
-            StubServer up =
-                    rig.upstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
-            rig.start();
-            try (StubServer.Client client = rig.client()) {
+    void requestAndResponsePassUnchanged() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer server = fixture.upstream(
+                    (request, connection) -> connection.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(
                         "POST /api/x?y=%20z HTTP/1.1\r\nHost: a\r\nX-Txn: q7\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\n"
                                 + "Idempotency-Key: k9\r\nContent-Length: 5\r\n\r\nh\u00e9llo");
-                StubServer.Message answer = client.answer();
-                assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), answer.body());
-                StubServer.Message sent = up.next();
+                StubServer.Message response = client.answer();
+                assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), response.body());
+                StubServer.Message sent = server.next();
                 assertTrue(sent.head().startsWith("POST /api/x?y=%20z HTTP/1.1\r\n"), sent.head());
                 assertEquals("q7", sent.header("X-Txn"));
                 assertEquals("k9", sent.header("Idempotency-Key"));
                 assertEquals("h\u00e9llo", sent.body());
-                int waits = Integer.parseInt(sent.header("X-Remaining-Ms"));
-                assertTrue(waits > 0 && waits <= 9000, "waits " + waits);
+                int remainingMillis = Integer.parseInt(sent.header("X-Remaining-Ms"));
+                assertTrue(remainingMillis > 0 && remainingMillis <= 9000, "waits " + remainingMillis);
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -18,262 +18,264 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.TrafficStatistics;
 import loadbalancer.proxy.protocol.EndpointList;
-import loadbalancer.proxy.protocol.JsonObject;
 import loadbalancer.proxy.testing.SidecarFixture;
 import loadbalancer.proxy.testing.StubServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections and the list: everything here happens on one event loop, as in the program. */
+/** Connections and the endpoint list; all calls of the pool run on one event loop, as in the program. */
 @Timeout(60)
 class UpstreamConnectionPoolTest {
+    private static final long IDLE_MICROS = 15_000_000;
+    private static final long HOUR_MICROS = 3_600_000_000L;
+    private static final long STALL_MICROS = 20_000;
+    private static final long NO_REUSE_DELAY = 0;
+
+    private static final StubServer.Script SILENT = (request, connection) -> {};
+    private static final StubServer.Script RESPONDS = (request, connection) -> connection.answer("200 OK", "", "body");
+
     private final MonotonicClock clock = new MonotonicClock();
-    private final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(clock);
-    private final EventLoop loop = reads.eventLoop();
+    private final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(clock);
+    private final EventLoop loop = eventLoop.eventLoop();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() {
-        reads.shutDown();
+        eventLoop.shutDown();
     }
 
-    private UpstreamConnectionPool upstreams(long idleUs, int most) throws Exception {
-        return upstreams(idleUs, most, 0);
+    private UpstreamConnectionPool newPool(long idleTimeoutMicros, int maxConnections) throws Exception {
+        return newPool(idleTimeoutMicros, maxConnections, NO_REUSE_DELAY);
     }
 
-    private UpstreamConnectionPool upstreams(long idleUs, int most, long restUs) throws Exception {
+    private UpstreamConnectionPool newPool(long idleTimeoutMicros, int maxConnections, long reuseDelayMicros)
+            throws Exception {
         return loop.submit(() -> new UpstreamConnectionPool(
-                        reads,
-                        new UpstreamTimeouts(idleUs, 2_000_000, 20_000),
-                        restUs,
-                        () -> most,
+                        eventLoop,
+                        new UpstreamTimeouts(idleTimeoutMicros, 2_000_000, STALL_MICROS),
+                        reuseDelayMicros,
+                        () -> maxConnections,
                         new TrafficStatistics()))
                 .get();
     }
 
-    private static EndpointList list(boolean whole, String... entries) {
-        return EndpointList.parse(
-                JsonObject.parse(SidecarFixture.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
+    private static EndpointList list(boolean fullSnapshot, String... entries) {
+        return EndpointList.parse(SidecarFixture.list(1, fullSnapshot, entries).getBytes(StandardCharsets.UTF_8));
     }
 
-    private UpstreamCall call(String upstream) {
+    private UpstreamCall newCall(String endpoint) {
         return UpstreamCall.attempt(
-                upstream,
+                endpoint,
                 clock.nowMicros() + 20_000_000,
-                left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
-                (c, outcome, report, body) -> outcomes.add(upstream + " " + outcome));
+                remainingMicros -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
+                (call, outcome, loadReport, body) -> outcomes.add(endpoint + " " + outcome));
+    }
+
+    private static String ready(String id, StubServer server) {
+        return SidecarFixture.entry(id, server.address(), "Ready", 0);
+    }
+
+    private void update(UpstreamConnectionPool pool, EndpointList list) {
+        loop.execute(() -> pool.updateEndpoints(list));
+    }
+
+    private void start(UpstreamConnectionPool pool, String endpoint) {
+        loop.execute(() -> pool.startCall(newCall(endpoint)));
+    }
+
+    private String outcomeOfCall(UpstreamConnectionPool pool, String endpoint) throws InterruptedException {
+        start(pool, endpoint);
+        return nextOutcome();
     }
 
-    private String outcome() throws InterruptedException {
+    private String nextOutcome() throws InterruptedException {
         return outcomes.poll(20, TimeUnit.SECONDS);
     }
 
     /**
-     * A connection that comes up after its upstream drained, went or restarted must carry nothing. The change falls
-     * into the same turn of the loop as the call, so that the connection can't be up before it.
+     * Nothing is written on a connection that comes up after its endpoint has drained, restarted or been removed. The
+     * change falls into the same iteration of the loop as the call, so that the connection can't be up before it.
      */
     @Test
-    void nothingIsSentToAnUpstreamThatChangedWhileItsConnectionCameUp() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"));
-                StubServer moved = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
-            EndpointList ready = list(true, SidecarFixture.entry("u", up.address(), "Ready", 0));
+    void nothingIsSentToAnEndpointThatChangedWhileItsConnectionCameUp() throws Exception {
+        try (StubServer server = new StubServer(RESPONDS);
+                StubServer moved = new StubServer(RESPONDS)) {
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
+            EndpointList ready = list(true, ready("u", server));
             for (EndpointList change : new EndpointList[] {
-                list(false, SidecarFixture.entry("u", up.address(), "Terminating", 0)),
-                list(false, SidecarFixture.entry("u", up.address(), "Gone", 0)),
-                list(false, SidecarFixture.entry("u", up.address(), "Ready", 5_000_000)),
-                list(false, SidecarFixture.entry("u", moved.address(), "Ready", 0)),
-                list(true, SidecarFixture.entry("other", moved.address(), "Ready", 0))
+                list(false, SidecarFixture.entry("u", server.address(), "Terminating", 0)),
+                list(false, SidecarFixture.entry("u", server.address(), "Gone", 0)),
+                list(false, SidecarFixture.entry("u", server.address(), "Ready", 5_000_000)),
+                list(false, ready("u", moved)),
+                list(true, ready("other", moved))
             }) {
                 loop.execute(() -> {
-                    upstreams.updateEndpoints(ready);
-                    upstreams.startCall(call("u"));
-                    upstreams.updateEndpoints(change);
+                    pool.updateEndpoints(ready);
+                    pool.startCall(newCall("u"));
+                    pool.updateEndpoints(change);
                 });
-                assertEquals("u NOT_SENT", outcome());
+                assertEquals("u NOT_SENT", nextOutcome());
             }
-            assertTrue(up.messages.isEmpty() && moved.messages.isEmpty(), "a request was sent all the same");
+            assertTrue(server.messages.isEmpty() && moved.messages.isEmpty(), "a request was sent");
         }
     }
 
-    /** The same upstream named again, as in every whole list, is no change: its connections stay. */
+    /** The same endpoint listed again, as in every full snapshot, is no change. */
     @Test
-    void aListThatSaysTheSameKeepsTheConnections() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
+    void anUnchangedListKeepsTheConnections() throws Exception {
+        try (StubServer server = new StubServer(RESPONDS)) {
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
-                    upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0)));
-                    upstreams.startCall(call("u"));
+                    pool.updateEndpoints(list(true, ready("u", server)));
+                    pool.startCall(newCall("u"));
                 });
-                assertEquals("u OK", outcome());
+                assertEquals("u OK", nextOutcome());
             }
-            assertEquals(1, up.accepted.size());
+            assertEquals(1, server.accepted.size());
         }
     }
 
-    /** An upstream drops idle connections unseen; a request written to one from then on would end as a reset. */
+    /** An endpoint closes idle connections without notice; a request written to one would end as a reset. */
     @Test
-    void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            UpstreamConnectionPool upstreams = upstreams(1, 100);
-            loop.execute(
-                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
+    void idleConnectionsAreClosedBeforeTheEndpointDoesSo() throws Exception {
+        try (StubServer server = new StubServer(RESPONDS)) {
+            UpstreamConnectionPool pool = newPool(1, 100);
+            update(pool, list(true, ready("u", server)));
             for (int i = 0; i < 2; i++) {
-                loop.execute(() -> upstreams.startCall(call("u")));
-                assertEquals("u OK", outcome());
+                assertEquals("u OK", outcomeOfCall(pool, "u"));
             }
-            assertEquals(-1, up.accepted.take().getInputStream().read());
-            assertEquals(1, up.accepted.size(), "the second call did not open a connection of its own");
+            assertEquals(-1, server.accepted.take().getInputStream().read());
+            assertEquals(1, server.accepted.size(), "the second call did not open a connection of its own");
         }
     }
 
-    /** Descriptors are few: at the cap an idle connection elsewhere makes room, and without one nothing is sent. */
+    /** At the limit an idle connection to another endpoint is closed; where there is none nothing is sent. */
     @Test
-    void connectionsStayWithinTheirCap() throws Exception {
-        try (StubServer a = new StubServer((m, line) -> line.answer("200 OK", "", ""));
-                StubServer silent = new StubServer((m, line) -> {})) {
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 1);
-            loop.execute(() -> upstreams.updateEndpoints(list(
-                    true,
-                    SidecarFixture.entry("a", a.address(), "Ready", 0),
-                    SidecarFixture.entry("silent", silent.address(), "Ready", 0))));
-            loop.execute(() -> upstreams.startCall(call("a")));
-            assertEquals("a OK", outcome());
-            loop.execute(() -> upstreams.startCall(call("silent")));
+    void connectionsStayWithinTheirLimit() throws Exception {
+        try (StubServer idle = new StubServer(RESPONDS);
+                StubServer silent = new StubServer(SILENT)) {
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 1);
+            update(pool, list(true, ready("idle", idle), ready("silent", silent)));
+            assertEquals("idle OK", outcomeOfCall(pool, "idle"));
+            start(pool, "silent");
             silent.next();
-            assertEquals(-1, a.accepted.take().getInputStream().read());
-            loop.execute(() -> upstreams.startCall(call("a")));
-            assertEquals("a NOT_SENT", outcome());
+            assertEquals(-1, idle.accepted.take().getInputStream().read());
+            assertEquals("idle NOT_SENT", outcomeOfCall(pool, "idle"));
         }
     }
 
-    /** Clients that come in numbers need descriptors: a connection that rests is closed for them, one in use is not. */
+    /** Many clients need descriptors: an idle connection is closed for them, one in use is not. */
     @Test
-    void anIdleConnectionGivesWayAndOneInUseDoesNot() throws Exception {
-        try (StubServer a = new StubServer((m, line) -> line.answer("200 OK", "", ""));
-                StubServer silent = new StubServer((m, line) -> {})) {
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 2);
-            loop.execute(() -> upstreams.updateEndpoints(list(
-                    true,
-                    SidecarFixture.entry("a", a.address(), "Ready", 0),
-                    SidecarFixture.entry("silent", silent.address(), "Ready", 0))));
-            loop.execute(() -> upstreams.startCall(call("a")));
-            assertEquals("a OK", outcome());
-            loop.execute(() -> upstreams.startCall(call("silent")));
+    void anIdleConnectionCanBeClosedForRoomAndOneInUseCannot() throws Exception {
+        try (StubServer idle = new StubServer(RESPONDS);
+                StubServer silent = new StubServer(SILENT)) {
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 2);
+            update(pool, list(true, ready("idle", idle), ready("silent", silent)));
+            assertEquals("idle OK", outcomeOfCall(pool, "idle"));
+            start(pool, "silent");
             silent.next();
-            assertTrue(loop.submit(upstreams::closeOldestIdleConnection).get());
-            assertEquals(-1, a.accepted.take().getInputStream().read());
-            assertEquals(1, loop.submit(upstreams::openConnections).get());
-            assertFalse(loop.submit(upstreams::closeOldestIdleConnection).get());
+            assertTrue(loop.submit(pool::closeOldestIdleConnection).get());
+            assertEquals(-1, idle.accepted.take().getInputStream().read());
+            assertEquals(1, loop.submit(pool::openConnections).get());
+            assertFalse(loop.submit(pool::closeOldestIdleConnection).get());
         }
     }
 
-    /** What never came up holds no place: otherwise a crashed upstream would use up the cap by and by. */
+    /** A connection that never came up must not count: a crashed endpoint would use up the limit otherwise. */
     @Test
-    void connectionsThatFailFreeTheirPlace() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""));
-                StubServer gone = new StubServer((m, line) -> {})) {
+    void failedConnectionsDoNotCount() throws Exception {
+        try (StubServer server = new StubServer(
+                        (request, connection) -> connection.answer("200 OK", "Connection: close\r\n", ""));
+                StubServer gone = new StubServer(SILENT)) {
             gone.close();
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 1);
-            loop.execute(() -> upstreams.updateEndpoints(list(
-                    true,
-                    SidecarFixture.entry("u", up.address(), "Ready", 0),
-                    SidecarFixture.entry("gone", gone.address(), "Ready", 0))));
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 1);
+            update(pool, list(true, ready("u", server), ready("gone", gone)));
             for (int i = 0; i < 3; i++) {
-                loop.execute(() -> upstreams.startCall(call("gone")));
-                assertEquals("gone CONNECT_FAILED", outcome());
+                assertEquals("gone CONNECT_FAILED", outcomeOfCall(pool, "gone"));
             }
-            loop.execute(() -> upstreams.startCall(call("u")));
-            assertEquals("u OK", outcome());
-            up.accepted.take().getInputStream().read();
+            assertEquals("u OK", outcomeOfCall(pool, "u"));
+            server.accepted.take().getInputStream().read();
         }
     }
 
-    /** Upstreams are replaced under ever new ids; what is gone must not be kept for ever, also among changes. */
+    /** Endpoints are replaced under ever new ids: removed ones must not pile up, also where only deltas come. */
     @Test
-    void whatIsGoneIsForgotten() throws Exception {
-        UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
-        int kept = loop.submit(() -> {
+    void removedEndpointsAreForgotten() throws Exception {
+        UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
+        int endpoints = loop.submit(() -> {
                     for (int i = 0; i < 50; i++) {
-                        upstreams.updateEndpoints(
-                                list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
-                        upstreams.updateEndpoints(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
+                        pool.updateEndpoints(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
+                        pool.updateEndpoints(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
                     }
-                    return upstreams.endpointCount();
+                    return pool.endpointCount();
                 })
                 .get();
-        assertEquals(0, kept);
+        assertEquals(0, endpoints);
     }
 
-    /** A connection that the upstream closed while it rested must cost the next call nothing. */
+    /** A connection that the endpoint closed while it was idle must cost the next call nothing. */
     @Test
-    void aConnectionClosedWhileItRestedIsPassedOver() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> {
-            line.answer("200 OK", "", "sent");
-            line.socket().close();
+    void aConnectionClosedWhileIdleIsNotReused() throws Exception {
+        try (StubServer server = new StubServer((request, connection) -> {
+            connection.answer("200 OK", "", "sent");
+            connection.socket().close();
         })) {
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100);
-            loop.execute(
-                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
+            update(pool, list(true, ready("u", server)));
             for (int i = 0; i < 5; i++) {
-                loop.execute(() -> upstreams.startCall(call("u")));
-                assertEquals("u OK", outcome());
-                while (loop.submit(upstreams::openConnections).get() > 0) {
+                assertEquals("u OK", outcomeOfCall(pool, "u"));
+                while (loop.submit(pool::openConnections).get() > 0) {
                     Thread.onSpinWait();
                 }
             }
-            assertEquals(5, up.accepted.size());
+            assertEquals(5, server.accepted.size());
         }
     }
 
     /**
-     * An upstream may answer twice, the second time some milliseconds later. Behind the next request on the same
-     * connection, that answer would be served to it: here it comes after that request has reached the upstream.
+     * An endpoint may respond twice, the second time some milliseconds later. On a connection that was reused by then
+     * the second response would be taken for the next request's: here it comes after that has reached the endpoint.
      */
     @Test
-    void aSecondAnswerThatComesLateIsServedToNobody() throws Exception {
-        BlockingQueue<StubServer.Connection> lines = new LinkedBlockingQueue<>();
-        try (StubServer up = new StubServer((m, line) -> {
-            lines.add(line);
-            if (lines.size() == 1) {
-                line.answer("200 OK", "", "first");
+    void aLateDuplicateResponseIsServedToNobody() throws Exception {
+        BlockingQueue<StubServer.Connection> connections = new LinkedBlockingQueue<>();
+        try (StubServer server = new StubServer((request, connection) -> {
+            connections.add(connection);
+            if (connections.size() == 1) {
+                connection.answer("200 OK", "", "first");
             } else {
-                lines.peek().answer("200 OK", "", "first");
-                line.answer("500 Own", "", "");
+                connections.peek().answer("200 OK", "", "first");
+                connection.answer("500 Own", "", "");
             }
         })) {
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100, 3_600_000_000L);
-            loop.execute(
-                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
-            loop.execute(() -> upstreams.startCall(call("u")));
-            assertEquals("u OK", outcome());
-            loop.execute(() -> upstreams.startCall(call("u")));
-            assertEquals("u ERROR", outcome(), "another request's answer was taken");
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100, HOUR_MICROS);
+            update(pool, list(true, ready("u", server)));
+            assertEquals("u OK", outcomeOfCall(pool, "u"));
+            assertEquals("u ERROR", outcomeOfCall(pool, "u"), "another request's response was taken");
         }
     }
 
-    /** Once it has rested a connection is used again: most requests would begin with a handshake otherwise. */
+    /** Most requests would begin with a handshake otherwise. */
     @Test
-    void aConnectionThatHasRestedIsUsedAgain() throws Exception {
-        try (StubServer up = new StubServer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            UpstreamConnectionPool upstreams = upstreams(15_000_000, 100, 1_000);
-            loop.execute(
-                    () -> upstreams.updateEndpoints(list(true, SidecarFixture.entry("u", up.address(), "Ready", 0))));
-            for (int calls = 0; up.accepted.size() == calls; calls++) {
-                loop.execute(() -> upstreams.startCall(call("u")));
-                assertEquals("u OK", outcome());
+    void aConnectionIsReusedAfterTheReuseDelay() throws Exception {
+        try (StubServer server = new StubServer(RESPONDS)) {
+            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100, 1_000);
+            update(pool, list(true, ready("u", server)));
+            for (int calls = 0; server.accepted.size() == calls; calls++) {
+                assertEquals("u OK", outcomeOfCall(pool, "u"));
             }
         }
     }
 
-    /** Before a request's last byte is out nobody can have served it. */
+    /** No endpoint can have served a request whose last byte is not written. */
     @Test
-    void anAnswerBeforeTheRequestIsOutIsNoAnswer() {
+    void aResponseToAnUnwrittenRequestIsAFailureToConnect() {
         for (String status : new String[] {"200 OK", "500 No"}) {
             EmbeddedChannel channel = new EmbeddedChannel();
-            UpstreamConnection.install(channel, 20_000).begin(call("u"), (call, connection) -> connection.close());
+            UpstreamConnection.install(channel, STALL_MICROS)
+                    .begin(newCall("u"), (call, connection) -> connection.close());
             channel.writeInbound(Unpooled.copiedBuffer(
                     "HTTP/1.1 " + status + "\r\nContent-Length: 2\r\n\r\nok", StandardCharsets.US_ASCII));
             assertEquals("u CONNECT_FAILED", outcomes.poll());
