--- a/src/main/java/loadbalancer/proxy/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleConnections.java
@@ -23,13 +23,13 @@
      * @param lastReadMicros when the last reading of all sockets began
      */
     UpstreamConnection take(long nowMicros, long lastReadMicros, long idleTimeoutMicros) {
-        for (Iterator<UpstreamConnection> i = connections.iterator(); i.hasNext(); ) {
-            UpstreamConnection connection = i.next();
+        for (Iterator<UpstreamConnection> iterator = connections.iterator(); iterator.hasNext(); ) {
+            UpstreamConnection connection = iterator.next();
             boolean usable = connection.isUsable(nowMicros, idleTimeoutMicros);
             if (usable && !connection.isReuseDelayOver(lastReadMicros)) {
                 continue;
             }
-            i.remove();
+            iterator.remove();
             if (usable) {
                 return connection;
             }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -20,7 +20,7 @@
  * listener that needs its body longer retains that.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    /** Gets a connection back whose call has been answered, before the call ends. */
+    /** Gets a connection back after the response to its call, before the call ends. */
     @FunctionalInterface
     interface ReleaseListener {
         void release(UpstreamCall call, UpstreamConnection connection);
@@ -72,9 +72,9 @@
     }
 
     /** What is read from now on is the response to {@code next}. */
-    void begin(UpstreamCall next, ReleaseListener whenAnswered) {
+    void begin(UpstreamCall next, ReleaseListener listener) {
         call = next;
-        releaseListener = whenAnswered;
+        releaseListener = listener;
     }
 
     /**
@@ -140,14 +140,14 @@
     private void deliver(ChannelHandlerContext ctx) {
         FullHttpResponse delivered = response;
         response = null;
-        UpstreamCall answered = detachCall();
+        UpstreamCall completed = detachCall();
         try {
             if (HttpUtil.isKeepAlive(delivered) && !hasUnexpectedData() && channel.isActive()) {
-                releaseListener.release(answered, this);
+                releaseListener.release(completed, this);
             } else {
                 ctx.close();
             }
-            ResponseClassifier.endCall(answered, delivered);
+            ResponseClassifier.endCall(completed, delivered);
         } finally {
             delivered.release();
         }
