--- a/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
+++ b/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy.protocol;
 
 /**
- * Checks and reads single header values and request targets, character by character: each is read with every request,
+ * Checks and reads single header values and request targets, character by character: this is done for every request,
  * also in the first seconds of a process, when a regular expression of the same meaning takes many times as long.
  * Stateless.
  */
--- a/src/main/java/loadbalancer/proxy/protocol/MalformedJsonException.java
+++ b/src/main/java/loadbalancer/proxy/protocol/MalformedJsonException.java
@@ -7,4 +7,8 @@
     MalformedJsonException(String message) {
         super(message);
     }
+
+    MalformedJsonException(String message, Throwable cause) {
+        super(message, cause);
+    }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -61,7 +61,7 @@
         connector = new UpstreamConnector(loop, maxConnections, statistics);
         updateTimeouts(timeouts);
         loop.scheduleWithFixedDelay(
-                () -> FaultBarrier.run("the sweep of idle connections", this::closeUnusableConnections),
+                () -> FaultBarrier.run("idle_connection_sweep", this::closeUnusableConnections),
                 SWEEP_INTERVAL_MILLIS,
                 SWEEP_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
