--- a/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
@@ -75,10 +75,9 @@
 
     @Override
     public void checkHealth(String endpointId) {
-        upstreams.startCall(new UpstreamCall(
+        upstreams.startCall(UpstreamCall.healthCheck(
                 endpointId,
                 clock.nowMicros() + HEALTH_CHECK_TIMEOUT_MICROS,
-                true,
                 remainingMicros -> loadReportRequest(),
                 (call, outcome, report, body) -> healthCheckCompleted(call, outcome, report)));
     }
@@ -91,7 +90,7 @@
         loadBalancer.submit(
                 "a health check",
                 module -> module.onHealthCheck(
-                        clock.nowMicros(), call.upstream(), outcome, clock.nowMicros() - call.sentUs(), report),
+                        clock.nowMicros(), call.endpoint(), outcome, clock.nowMicros() - call.sentMicros(), report),
                 () -> {});
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -20,6 +20,7 @@
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.observability.TrafficStatistics;
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
+import loadbalancer.proxy.upstream.UpstreamTimeouts;
 import loadbalancer.settings.LoadBalancerSettings;
 import loadbalancer.settings.RequestClass;
 
@@ -84,13 +85,10 @@
     }
 
     private UpstreamConnectionPool newUpstreamPool() {
-        LoadBalancerSettings settings = settings();
         return new UpstreamConnectionPool(
                 eventLoop,
-                settings.limits().connectionIdleTimeoutMicros(),
-                UpstreamConnectionPool.REST_US,
-                settings.limits().connectTimeoutMicros(),
-                stallTimeoutMicros(settings),
+                upstreamTimeouts(settings()),
+                UpstreamConnectionPool.REUSE_DELAY_MICROS,
                 () -> descriptors.maxConnections() - openClientConnections(),
                 statistics);
     }
@@ -132,6 +130,13 @@
                 || upstreams.closeOldestIdleConnection();
     }
 
+    private static UpstreamTimeouts upstreamTimeouts(LoadBalancerSettings settings) {
+        return new UpstreamTimeouts(
+                settings.limits().connectionIdleTimeoutMicros(),
+                settings.limits().connectTimeoutMicros(),
+                stallTimeoutMicros(settings));
+    }
+
     /** A quarter of the shortest latency objective: enough of it is left for another attempt. */
     private static long stallTimeoutMicros(LoadBalancerSettings settings) {
         long shortestObjectiveMicros = settings.requestClasses().stream()
@@ -226,10 +231,7 @@
         // The load balancer first: it must know a new class before a request of that class is accepted.
         loadBalancer.submit("new settings", module -> module.onSettings(clock.nowMicros(), settings), () -> {});
         requests.updateMaxAttempts(settings.limits().maxAttempts());
-        upstreams.updateTimeouts(
-                settings.limits().connectionIdleTimeoutMicros(),
-                settings.limits().connectTimeoutMicros(),
-                stallTimeoutMicros(settings));
+        upstreams.updateTimeouts(upstreamTimeouts(settings));
         clients.updateRequestClasses(settings.requestClasses());
     }
 
