--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -90,7 +90,7 @@
         return isOvertaken() && nowMicros - sentMicros > MISSING_RATIO * forecast.timeMicros();
     }
 
-    /** Whether its time-out would speak of the connection rather than of the endpoint. */
+    /** Whether a time-out of it is a failure of the connection rather than of the endpoint. */
     boolean isLost(long nowMicros) {
         return lost || isMissing(nowMicros);
     }
--- a/src/main/java/loadbalancer/decision/HealthCheckResults.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckResults.java
@@ -27,7 +27,7 @@
     /**
      * Takes one outcome.
      *
-     * @param report null where the endpoint told no load
+     * @param report null where the endpoint reported no load
      */
     void onOutcome(long nowMicros, String endpointId, AttemptOutcome outcome, LoadReport report) {
         TrackedEndpoint endpoint = registry.find(endpointId);
--- a/src/main/java/loadbalancer/decision/HealthCheckedSelector.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckedSelector.java
@@ -77,19 +77,14 @@
             sampling.first = null;
             return fresh;
         }
-        if (!drawPair(nowMicros, request, turn)) {
+        if (!drawPair(nowMicros, request, turn) || isAwaited(nowMicros, request)) {
             return null;
         }
         TrackedEndpoint first = sampling.first;
         TrackedEndpoint second = sampling.second;
-        boolean firstKnown = isKnown(nowMicros, request, first);
-        boolean secondKnown = second != null && isKnown(nowMicros, request, second);
-        boolean answered = firstKnown && (second == null || secondKnown);
-        if (!answered && nowMicros - sampling.askedMicros < WAIT_MICROS) {
-            return null;
-        }
         sampling.first = null;
-        TrackedEndpoint best = lessLoaded(nowMicros, request, firstKnown ? first : null, secondKnown ? second : null);
+        TrackedEndpoint best = lessLoaded(
+                nowMicros, request, knownOrNull(nowMicros, request, first), knownOrNull(nowMicros, request, second));
         if (best == null && reports.lastReportMicros() < sampling.askedMicros) {
             // No endpoint at all has reported since: the delay is here. Local attempts decide.
             return lessLoaded(nowMicros, request, first, second);
@@ -105,6 +100,16 @@
         return null;
     }
 
+    /** Whether a load of the pair is unknown and its report may still come. */
+    private boolean isAwaited(long nowMicros, PendingRequest request) {
+        Sampling sampling = request.sampling;
+        if (nowMicros - sampling.askedMicros >= WAIT_MICROS) {
+            return false;
+        }
+        return !isKnown(nowMicros, request, sampling.first)
+                || sampling.second != null && !isKnown(nowMicros, request, sampling.second);
+    }
+
     /** Draws a pair and asks for its load, unless one is being asked already; false where there is none now. */
     private boolean drawPair(long nowMicros, PendingRequest request, TrackedEndpoint turn) {
         Sampling sampling = request.sampling;
@@ -129,6 +134,10 @@
         return powerOfTwo.draw(nowMicros, request, routing.all(), RoomNeeded.BELOW_LIMIT, excluded);
     }
 
+    private TrackedEndpoint knownOrNull(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
+        return endpoint != null && isKnown(nowMicros, request, endpoint) ? endpoint : null;
+    }
+
     private void checkUnlessKnown(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
         if (endpoint != null && !isKnown(nowMicros, request, endpoint)) {
             healthChecks.check(nowMicros, endpoint);
--- a/src/main/java/loadbalancer/decision/IdleConnectionGuard.java
+++ b/src/main/java/loadbalancer/decision/IdleConnectionGuard.java
@@ -118,7 +118,7 @@
         return limitMicros;
     }
 
-    /** The limit for gossip, or 0: only local failures are passed on, or the news would never end. */
+    /** The limit for gossip, or 0: only local failures are passed on, or a limit would circulate for ever. */
     long locallySeenLimitMicros(long nowMicros) {
         return nowMicros - locallySeenMicros < FORGET_MICROS ? limitMicros : 0;
     }
--- a/src/main/java/loadbalancer/decision/InFlightAttempts.java
+++ b/src/main/java/loadbalancer/decision/InFlightAttempts.java
@@ -10,7 +10,10 @@
 
     /** The attempts in flight on one endpoint, in the order of their sends, and when it answered last. */
     static final class OfEndpoint {
-        private final ArrayDeque<Attempt> inOrder = new ArrayDeque<>();
+        /** Most endpoints have few attempts at a time. */
+        private static final int INITIAL_CAPACITY = 4;
+
+        private final ArrayDeque<Attempt> inOrder = new ArrayDeque<>(INITIAL_CAPACITY);
         private long answeredSentMicros = Long.MIN_VALUE / 2;
         private long answeredMicros = Long.MIN_VALUE / 2;
 
@@ -31,6 +34,36 @@
             return sentMicros < answeredSentMicros;
         }
 
+        /** The oldest attempt that no answer has overtaken, or null: what the endpoint is at work on. */
+        Attempt oldestNotOvertaken() {
+            Attempt oldest = inOrder.peekFirst();
+            if (oldest == null || !oldest.isOvertaken()) {
+                return oldest;
+            }
+            for (Attempt attempt : inOrder) {
+                if (!attempt.isOvertaken()) {
+                    return attempt;
+                }
+            }
+            return null;
+        }
+
+        /** Number of attempts that were lost on their way; only overtaken ones can be, and they come first. */
+        int missing(long nowMicros) {
+            Attempt oldest = inOrder.peekFirst();
+            if (oldest == null || !oldest.isOvertaken()) {
+                return 0;
+            }
+            int missing = 0;
+            for (Attempt attempt : inOrder) {
+                if (attempt.isMissing(nowMicros)) {
+                    missing++;
+                }
+            }
+            return missing;
+        }
+
+        /** When the endpoint last answered. */
         long answeredMicros() {
             return answeredMicros;
         }
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -33,7 +33,7 @@
     /** The first part of a streamed response was forwarded: from now on there is no other attempt. */
     void onStreamStart(long nowMicros, String requestId, int attempt, String endpointId, long latencyMicros);
 
-    /** Reports the outcome of a health check; {@code loadReport} is null where the endpoint told no load. */
+    /** Reports the outcome of a health check; {@code loadReport} is null where the endpoint reported no load. */
     void onHealthCheck(
             long nowMicros, String endpointId, AttemptOutcome outcome, long latencyMicros, LoadReport loadReport);
 
--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -38,33 +38,32 @@
 
     /** Requests that the endpoint holds, as far as known here. */
     double load(TrackedEndpoint endpoint, long nowMicros) {
+        return localLoad(endpoint, nowMicros) + remoteLoad(endpoint, nowMicros) + stallLoad(endpoint, nowMicros);
+    }
+
+    /** Local attempts in flight, without those that were lost on their way. */
+    private static int localLoad(TrackedEndpoint endpoint, long nowMicros) {
+        int lost = Math.max(endpoint.reportedLoad.lostAttempts, endpoint.attempts.missing(nowMicros));
+        return Math.max(0, endpoint.localInFlight() - lost);
+    }
+
+    /** Requests of other sidecars at the last report, without those that were served since. */
+    private double remoteLoad(TrackedEndpoint endpoint, long nowMicros) {
         ReportedLoad report = endpoint.reportedLoad;
-        double cores = endpoint.machineType().cores();
-        double servedSinceReport =
-                (nowMicros - report.reportedMicros) * cores / (endpoint.speedFactor() * work.meanWorkMicros());
-        int missing = 0;
-        Attempt oldestAtWork = null;
-        for (Attempt attempt : endpoint.attempts.inOrder()) {
-            if (!attempt.isOvertaken()) {
-                oldestAtWork = attempt;
-                break;
-            }
-            if (attempt.isMissing(nowMicros)) {
-                missing++;
-            }
-        }
-        double load = Math.max(0, endpoint.localInFlight() - Math.max(report.lostAttempts, missing))
-                + Math.max(0, report.remoteInFlight - servedSinceReport);
-        if (oldestAtWork != null && report.lostAttempts == 0) {
-            // A stall shows first in local attempts that are overdue.
-            double overdue = (nowMicros - oldestAtWork.sentMicros())
-                            / oldestAtWork.forecast().timeMicros()
-                    - STALL_RATIO;
-            if (overdue > 0) {
-                load += overdue * cores;
-            }
+        double servedSinceReport = (nowMicros - report.reportedMicros)
+                * endpoint.machineType().cores()
+                / (endpoint.speedFactor() * work.meanWorkMicros());
+        return Math.max(0, report.remoteInFlight - servedSinceReport);
+    }
+
+    /** The load that an overdue answer stands for: a stall shows in the local attempts first. */
+    private static double stallLoad(TrackedEndpoint endpoint, long nowMicros) {
+        Attempt oldest = endpoint.attempts.oldestNotOvertaken();
+        if (oldest == null || endpoint.reportedLoad.lostAttempts != 0) {
+            return 0;
         }
-        return load;
+        double overdue = (nowMicros - oldest.sentMicros()) / oldest.forecast().timeMicros() - STALL_RATIO;
+        return overdue > 0 ? overdue * endpoint.machineType().cores() : 0;
     }
 
     /** Takes a load report. Overdue attempts that the endpoint does not hold were lost on their connections. */
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -45,14 +45,14 @@
         return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_ANSWERS, answers));
     }
 
-    /** Notes that an answer told something, of whatever kind. */
+    /** Notes that an answer was learned from. */
     void touch(long nowMicros) {
         answeredMicros = nowMicros;
     }
 
     /**
-     * Lets the speed factor return towards the least one seen when nothing is heard: a type held for slow gets no
-     * requests that would show otherwise.
+     * Lets the speed factor return towards the least one seen without answers: a type that seems slow gets no requests
+     * that would show otherwise.
      */
     void relax(long nowMicros) {
         if (nowMicros - answeredMicros > STALE_MICROS) {
--- a/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
+++ b/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
@@ -28,7 +28,7 @@
             case TIMEOUT -> evaluateTimeout(nowMicros, attempt, latencyMicros);
             case CANCELLED -> {
                 speeds.learnTimeout(attempt, latencyMicros, nowMicros);
-                outliers.recordFailure(nowMicros, endpoint, 0);
+                outliers.ejectIfDue(nowMicros, endpoint);
             }
             case ERROR -> outliers.recordFailure(nowMicros, endpoint, OutlierDetector.FAILURE_WEIGHT);
                 // As often the connection's failure: an endpoint whose process died refuses the next connection.
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -46,8 +46,13 @@
     }
 
     void recordFailure(long nowMicros, TrackedEndpoint endpoint, int weight) {
+        endpoint.health.failureWeight += weight;
+        ejectIfDue(nowMicros, endpoint);
+    }
+
+    /** Ejects the endpoint where its failures, also those during an ejection that has ended, weigh enough. */
+    void ejectIfDue(long nowMicros, TrackedEndpoint endpoint) {
         Health health = endpoint.health;
-        health.failureWeight += weight;
         if (health.failureWeight >= EJECTION_WEIGHT && nowMicros >= health.ejectedUntilMicros) {
             health.failureWeight = 0;
             long ejectionMicros = BASE_EJECTION_MICROS << Math.min(health.ejections, MAX_DOUBLINGS);
--- a/src/main/java/loadbalancer/decision/PendingRequest.java
+++ b/src/main/java/loadbalancer/decision/PendingRequest.java
@@ -58,7 +58,7 @@
         return deadlineMicros;
     }
 
-    /** The latency objective, or the deadline where a late answer has some worth: an answer after it has none. */
+    /** The latency objective, or the deadline where late answers count: an answer after it is of no use. */
     long usefulUntilMicros() {
         return usefulUntilMicros;
     }
