--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as its platform starts and ends it. */
+/** The process as its platform starts, reloads and stops it. */
 @Timeout(120)
 class MainTest {
     @TempDir
@@ -37,7 +37,7 @@
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "loadbalancer.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        builder.environment().keySet().removeIf(variable -> variable.startsWith("BALANCER_"));
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.environment().put("BALANCER_DISCOVERY", "127.0.0.1:9");
         builder.redirectError(folder.resolve("log").toFile());
@@ -48,14 +48,14 @@
     private List<String> log() throws Exception {
         return Files.readString(folder.resolve("log"), StandardCharsets.UTF_8)
                 .lines()
-                .filter(l -> !l.startsWith("Picked up "))
+                .filter(line -> !line.startsWith("Picked up "))
                 .toList();
     }
 
     @Test
-    void aBrokenConfigurationEndsItWithOneLine() throws Exception {
-        Process p = start("{\"name\":\"n\"}");
-        assertEquals(2, p.waitFor());
+    void anInvalidConfigurationEndsItWithOneLine() throws Exception {
+        Process process = start("{\"name\":\"n\"}");
+        assertEquals(2, process.waitFor());
         assertEquals(1, log().size(), log().toString());
         assertTrue(log().get(0).contains("'settings' is missing"), log().toString());
     }
@@ -68,42 +68,44 @@
               "profiles":[{"name":"c","semantics":"safe","objective_us":1,"give_up_us":1}],
               "rules":{"drain_grace_us":1,"cold_share":0.2,"ramp_time_us":1,"fall_multiple":3,"fall_us":1}}}""";
 
-    private void awaitLine(Process p, String part) throws Exception {
-        while (log().stream().noneMatch(l -> l.contains(part))) {
-            assertTrue(p.isAlive(), "it ended: " + log());
+    private void awaitLine(Process process, String part) throws Exception {
+        while (log().stream().noneMatch(line -> line.contains(part))) {
+            assertTrue(process.isAlive(), "it ended: " + log());
             Thread.sleep(20);
         }
     }
 
-    private static void hangUp(Process p) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + p.pid()).start().waitFor());
+    private static void sendHangUp(Process process) throws Exception {
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
     }
 
-    /** SIGHUP ends a program that does not handle it. The file's word holds then, also against the environment's. */
+    /** An unhandled SIGHUP would end the process. In a reload the file overrides the environment. */
     @Test
-    void toldOfANewConfigurationItServesOnWithIt() throws Exception {
-        Process p = start(CONFIG);
-        awaitLine(p, "load-balancer: listening ");
+    void aHangUpReloadsTheConfigurationAndAnInvalidOneIsRejected() throws Exception {
+        Process process = start(CONFIG);
+        awaitLine(process, "load-balancer: listening ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
-        hangUp(p);
-        awaitLine(p, "discovery_address_changed address=/127.0.0.2:9");
+        sendHangUp(process);
+        awaitLine(process, "discovery_address_changed address=/127.0.0.2:9");
         Files.writeString(folder.resolve("config.json"), "{");
-        hangUp(p);
-        awaitLine(p, "load-balancer: configuration_rejected ");
-        assertTrue(p.isAlive());
-        p.destroy();
-        assertTrue(p.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(0, p.exitValue(), log().toString());
+        sendHangUp(process);
+        awaitLine(process, "load-balancer: configuration_rejected ");
+        assertTrue(process.isAlive());
+        process.destroy();
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+        assertEquals(0, process.exitValue(), log().toString());
     }
 
-    /** While one sidecar starts its application has nobody: nothing is started that serving does not need. */
+    /** An application waits while its sidecar starts: nothing is started that serving does not need. */
     @Test
     void flightRecorderIsNotStartedToServe() throws Exception {
         Path classes = folder.resolve("classes");
-        Process p = start(CONFIG, "-Xlog:class+load:file=" + classes);
-        awaitLine(p, "load-balancer: ready ");
-        p.destroy();
-        assertTrue(p.waitFor(60, TimeUnit.SECONDS));
+        Process process = start(CONFIG, "-Xlog:class+load:file=" + classes);
+        awaitLine(process, "load-balancer: ready ");
+        process.destroy();
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         List<String> loaded = Files.readAllLines(classes);
         assertTrue(loaded.stream().anyMatch(l -> l.contains("io.netty.buffer.")), "the log of classes is empty");
         assertEquals(
@@ -113,20 +115,18 @@
                         .toList());
     }
 
-    /**
-     * Comparing records loads a hundred classes, for 0.1 s of a loop that has a part of a core: once in all sidecars.
-     */
+    /** The first comparison of records loads a hundred classes, which blocks the loop for 0.1 s on a part of a core. */
     @Test
-    void aNewConfigurationIsTakenOverWithoutAFloodOfClasses() throws Exception {
+    void aReloadDoesNotCompareRecords() throws Exception {
         Path classes = folder.resolve("classes");
-        Process p = start(CONFIG, "-Xlog:class+load:file=" + classes);
-        awaitLine(p, "load-balancer: ready ");
+        Process process = start(CONFIG, "-Xlog:class+load:file=" + classes);
+        awaitLine(process, "load-balancer: ready ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
-        hangUp(p);
-        awaitLine(p, "discovery_address_changed address=/127.0.0.2:9");
-        // The loop has done all of it when this is heard.
-        p.destroy();
-        assertTrue(p.waitFor(60, TimeUnit.SECONDS));
+        sendHangUp(process);
+        awaitLine(process, "discovery_address_changed address=/127.0.0.2:9");
+        // The event loop has applied the configuration before it handles the stop.
+        process.destroy();
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         assertEquals(
                 List.of(),
                 Files.readAllLines(classes).stream()
@@ -134,13 +134,13 @@
                         .toList());
     }
 
-    /** Asked to end it exits with 0 once it is empty, which a signal's own exit code would not tell. */
+    /** A requested stop is no failure: the exit code is not that of the signal. */
     @Test
-    void askedToEndItExitsWithZero() throws Exception {
-        Process p = start(CONFIG);
-        awaitLine(p, "load-balancer: listening ");
-        p.destroy();
-        assertTrue(p.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(0, p.exitValue(), log().toString());
+    void aTerminationSignalEndsItWithZero() throws Exception {
+        Process process = start(CONFIG);
+        awaitLine(process, "load-balancer: listening ");
+        process.destroy();
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+        assertEquals(0, process.exitValue(), log().toString());
     }
 }
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopMonitorTest {
-    /** Only a late tick is told, by what was longest since the one before, and not again within a second. */
+    /** Only a late loop is reported, with the longest task of the interval, and not again within a second. */
     @Test
-    void aLateTickTellsWhatCameSinceTheOneBefore() {
+    void aLateLoopIsReportedWithTheLongestTaskOfTheInterval() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.taskFinished("before the start", clock.nowMicros() - 900_000);
@@ -23,15 +23,15 @@
         assertNull(monitor.checkLag(300_000));
     }
 
-    /** A loop that had no processor and one that was busy itself look alike but for this. */
+    /** This tells a loop without a processor from one that was busy itself. */
     @Test
-    void aLateTickTellsWhatTheThreadsRan() {
+    void aLateLoopIsReportedWithTheTimesOfTheThreads() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.start();
-        long until = System.nanoTime() + 50_000_000;
+        long deadlineNanos = System.nanoTime() + 50_000_000;
         long iterations = 0;
-        while (System.nanoTime() < until) {
+        while (System.nanoTime() < deadlineNanos) {
             iterations++;
         }
         assertTrue(iterations > 0);
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Errors of the kinds that a running process meets, forced in the module: the process goes on, and the request is
- * answered.
+ * Failures of the kinds that a running process meets, thrown by the load balancer: the request is answered and the
+ * process serves on.
  */
 @Timeout(60)
 class FaultBarrierTest {
@@ -18,7 +18,7 @@
         return overflow(depth + 1) + 1;
     }
 
-    private static final List<Runnable> FAULTS = List.of(
+    private static final List<Runnable> FAILURES = List.of(
             () -> overflow(0),
             () -> {
                 throw new OutOfMemoryError("Java heap space");
@@ -33,25 +33,25 @@
                 throw new NoClassDefFoundError("Could not initialize class loadbalancer.Something");
             },
             () -> {
-                throw new IllegalStateException("as the test wants");
+                throw new IllegalStateException("thrown by the test");
             });
 
     @Test
-    void anErrorInOneRequestEndsThatRequestAtOnceAndNothingElse() throws Exception {
+    void aFailureInOneRequestEndsThatRequestAtOnceAndNothingElse() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            fixture.onRequest = (now, r, out) -> {
-                if (r.id().startsWith("fault-")) {
-                    FAULTS.get(Integer.parseInt(r.id().substring("fault-".length())))
+            fixture.upstream(StubServer.respondingWith("ok"));
+            fixture.onRequest = (now, request, actions) -> {
+                if (request.id().startsWith("failure-")) {
+                    FAILURES.get(Integer.parseInt(request.id().substring("failure-".length())))
                             .run();
                 }
-                out.sendAttempt(r.id(), "u0", 0);
+                actions.sendAttempt(request.id(), "u0", 0);
             };
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
-                for (int i = 0; i < FAULTS.size(); i++) {
-                    // Without an answer at once this waits for its deadline, longer than the test may take.
-                    client.send(SidecarFixture.get("fault-" + i, 60_000));
+                for (int i = 0; i < FAILURES.size(); i++) {
+                    // Not answered at once this would wait for its deadline, for longer than the test may take.
+                    client.send(SidecarFixture.get("failure-" + i, 60_000));
                     assertEquals(502, client.status());
                     client.send(SidecarFixture.get("next-" + i, 20_000));
                     assertEquals(200, client.status());
@@ -60,18 +60,18 @@
         }
     }
 
-    /** Ticks keep the connections in bounds: they go on after one that failed. */
+    /** The periodic maintenance closes silent connections: it goes on after a timer that failed. */
     @Test
-    void whatRunsAgainAndAgainIsNotEndedByAFailure() throws Exception {
+    void periodicTasksGoOnAfterAFailure() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.onRequest = (now, r, out) -> out.startTimer("break", 1_000);
+            fixture.onRequest = (now, request, actions) -> actions.startTimer("break", 1_000);
             fixture.start();
-            try (StubServer.Client asking = fixture.client();
+            try (StubServer.Client active = fixture.client();
                     StubServer.Client silent = fixture.client()) {
-                asking.send(SidecarFixture.get("a", 60_000));
-                // The module breaks in its timer, and what it held is answered.
-                assertEquals(502, asking.status());
-                // Who says nothing is still put out by the sweep.
+                active.send(SidecarFixture.get("a", 60_000));
+                // The load balancer fails in its timer, and the requests that it held are answered.
+                assertEquals(502, active.status());
+                // A silent client is still disconnected by the maintenance.
                 assertEquals(true, silent.ended());
             }
         }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -5,71 +5,73 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.concurrent.CountDownLatch;
+import loadbalancer.decision.AttemptOutcome;
 import loadbalancer.proxy.configuration.ConfigurationException;
 import loadbalancer.proxy.testing.SidecarFixture;
 import loadbalancer.proxy.testing.StubServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A changed configuration holds without a restart, or not at all. */
+/** A reloaded configuration is in force without a restart, or not at all. */
 @Timeout(60)
 class ConfigurationReloadTest {
-    private static String get(String id, String requestClass) {
-        return SidecarFixture.get(id, 20_000).replace("X-Lane: c", "X-Lane: " + requestClass);
+    private static String get(String requestId, String requestClass) {
+        return SidecarFixture.get(requestId, 20_000).replace("X-Lane: c", "X-Lane: " + requestClass);
     }
 
-    private static void assertStarts(String start, SidecarFixture fixture, String request) throws Exception {
+    private static void assertResponseStartsWith(String prefix, SidecarFixture fixture, String request)
+            throws Exception {
         try (StubServer.Client client = fixture.client()) {
             String head = client.send(request).answer().head();
-            assertTrue(head.startsWith(start), head);
+            assertTrue(head.startsWith(prefix), head);
         }
     }
 
-    /** One class goes and another comes: what is under way is answered, and the next requests find the new settings. */
+    /** One class is replaced by another and the number of attempts is reduced. */
     @Test
-    void otherClassesHoldAtOnceAndRequestsUnderWayAreAnswered() throws Exception {
+    void newSettingsHoldForNewRequestsAndRequestsInFlightAreAnswered() throws Exception {
         CountDownLatch reloaded = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer up = fixture.upstream((m, line) -> {
-                try {
-                    reloaded.await();
-                } catch (InterruptedException e) {
-                    throw new java.io.InterruptedIOException();
-                }
-                line.answer("200 OK", "", m.header("X-Txn"));
+            StubServer endpoint = fixture.upstream((request, connection) -> {
+                StubServer.awaitLatch(reloaded);
+                connection.answer("200 OK", "", request.header("X-Txn"));
             });
             fixture.start();
-            try (StubServer.Client old = fixture.client()) {
-                old.send(get("old", "c"));
-                up.next();
-                assertStarts("HTTP/1.1 400 ", fixture, get("n0", "fresh"));
+            try (StubServer.Client client = fixture.client()) {
+                client.send(get("in-flight", "c"));
+                endpoint.next();
+                assertResponseStartsWith("HTTP/1.1 400 ", fixture, get("n0", "added"));
                 fixture.settings = SidecarFixture.SETTINGS
-                        .replace("\"name\":\"c\"", "\"name\":\"fresh\"")
+                        .replace("\"name\":\"c\"", "\"name\":\"added\"")
                         .replace("\"max_attempts\":4", "\"max_attempts\":1");
                 fixture.reload(fixture.discovery.address());
-                assertEquals("settings fresh,k", fixture.await("settings"));
+                assertEquals("settings added,k", fixture.await("settings"));
                 reloaded.countDown();
-                assertEquals("old", old.answer().body());
-                assertStarts("HTTP/1.1 200 ", fixture, get("n1", "fresh"));
-                assertStarts("HTTP/1.1 400 ", fixture, get("n2", "c"));
-                fixture.onOutcome = (id, outcome, done, out) -> {
-                    if (outcome == loadbalancer.decision.AttemptOutcome.NOT_SENT) {
-                        out.fail(id);
-                    } else if (!done) {
-                        out.sendAttempt(id, "u0", 0);
-                    }
-                };
-                up.script = (m, line) -> line.answer("500 No", "", "");
-                assertEquals(502, old.send(get("n3", "fresh")).status());
+                assertEquals("in-flight", client.answer().body());
+                assertResponseStartsWith("HTTP/1.1 200 ", fixture, get("n1", "added"));
+                assertResponseStartsWith("HTTP/1.1 400 ", fixture, get("n2", "c"));
+                retryUntilNotSent(fixture);
+                endpoint.script = (request, connection) -> connection.answer("500 No", "", "");
+                assertEquals(502, client.send(get("n3", "added")).status());
                 assertEquals("outcome n3 0 ERROR false -", fixture.await("outcome n3"));
                 assertEquals("outcome n3 1 NOT_SENT false -", fixture.await("outcome n3"));
             }
         }
     }
 
+    private static void retryUntilNotSent(SidecarFixture fixture) {
+        fixture.onOutcome = (requestId, outcome, done, actions) -> {
+            if (outcome == AttemptOutcome.NOT_SENT) {
+                actions.fail(requestId);
+            } else if (!done) {
+                actions.sendAttempt(requestId, "u0", 0);
+            }
+        };
+    }
+
     @Test
-    void whatIsWrongAnywhereIsNamedAndNothingOfItIsUsed() throws Exception {
-        String[][] wrong = {
+    void invalidSettingsAreNamedAndNoneOfThemIsUsed() throws Exception {
+        String[][] replacementsAndMessages = {
             {"\"me\":0", "\"me\":2", "'me'"},
             {"\"name\":\"k\"", "\"name\":\"c\"", "'c' twice"},
             {"\"objective_us\":300000", "\"objective_us\":0", "no time"},
@@ -79,36 +81,34 @@
             {"\"fall_multiple\":3", "\"fall_multiple\":\"three\"", "no number"},
         };
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+            fixture.upstream(StubServer.echoingRequestId());
             fixture.start();
-            for (String[] w : wrong) {
-                fixture.settings = SidecarFixture.SETTINGS.replace(w[0], w[1]);
+            for (String[] row : replacementsAndMessages) {
+                fixture.settings = SidecarFixture.SETTINGS.replace(row[0], row[1]);
                 ConfigurationException e =
                         assertThrows(ConfigurationException.class, () -> fixture.reload("127.0.0.1:9"));
-                assertTrue(e.getMessage().contains(w[2]), e.getMessage());
+                assertTrue(e.getMessage().contains(row[2]), e.getMessage());
             }
             try (StubServer.Client client = fixture.client()) {
                 assertEquals("r", client.send(get("r", "c")).answer().body());
             }
-            fixture.events.forEach(t -> assertTrue(!t.startsWith("settings"), t));
+            fixture.events.forEach(event -> assertTrue(!event.startsWith("settings"), event));
         }
     }
 
-    /** Where only discovery has moved, nothing that was learned is put in doubt. */
+    /** Where only the discovery address has changed, the load balancer keeps what it has learned. */
     @Test
-    void settingsThatAreTheSameAreNoNews() throws Exception {
+    void unchangedSettingsAreNotReported() throws Exception {
+        String endpoints = SidecarFixture.list(7, true, SidecarFixture.entry("u5", "127.0.0.1:9", "Ready", 0));
         try (SidecarFixture fixture = new SidecarFixture();
-                StubServer elsewhere = new StubServer((m, line) -> line.answer(
-                        "200 OK",
-                        "",
-                        SidecarFixture.list(7, true, SidecarFixture.entry("u5", "127.0.0.1:9", "Ready", 0))))) {
+                StubServer otherDiscovery = new StubServer(StubServer.respondingWith(endpoints))) {
             fixture.start();
-            fixture.reload(elsewhere.address());
-            String list;
+            fixture.reload(otherDiscovery.address());
+            String event;
             do {
-                list = fixture.events.take();
-                assertTrue(!list.startsWith("settings"), list);
-            } while (!list.startsWith("list FULL u5=READY"));
+                event = fixture.events.take();
+                assertTrue(!event.startsWith("settings"), event);
+            } while (!event.startsWith("list FULL u5=READY"));
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
@@ -10,50 +10,52 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A planned stop loses nothing that a client has sent. */
+/** A graceful shutdown answers all that a client has sent. */
 @Timeout(60)
 class GracefulShutdownTest {
+    /** Echoes the request's identifier, for identifiers with the prefix only once the latch is released. */
+    private static StubServer.Script holding(String prefix, CountDownLatch released) {
+        return (request, connection) -> {
+            if (request.header("X-Txn").startsWith(prefix)) {
+                StubServer.awaitLatch(released);
+            }
+            connection.answer("200 OK", "", request.header("X-Txn"));
+        };
+    }
+
+    private static void assertLastResponse(String body, StubServer.Message response) {
+        assertEquals(body, response.body());
+        assertEquals("close", response.header("Connection"));
+    }
+
     @Test
-    void newConnectionsAndHalfReadRequestsAreServedAfterTheStopWasAskedFor() throws Exception {
+    void newConnectionsAndPartialRequestsAreServedDuringTheShutdown() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            CountDownLatch answer = new CountDownLatch(1);
-            fixture.upstream((m, line) -> {
-                if (m.header("X-Txn").equals("held")) {
-                    try {
-                        answer.await();
-                    } catch (InterruptedException e) {
-                        throw new java.io.InterruptedIOException();
-                    }
-                }
-                line.answer("200 OK", "", m.header("X-Txn"));
-            });
+            CountDownLatch released = new CountDownLatch(1);
+            fixture.upstream(holding("held", released));
             fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
             try (StubServer.Client held = fixture.client();
-                    StubServer.Client half = fixture.client();
+                    StubServer.Client partial = fixture.client();
                     StubServer.Client idle = fixture.client()) {
                 held.send(SidecarFixture.get("held", 30_000));
                 fixture.await("request held");
                 idle.send(SidecarFixture.get("before", 30_000));
                 assertEquals("before", idle.answer().body());
-                String text = SidecarFixture.get("half", 30_000);
-                half.send(text.substring(0, 30));
+                String partialRequest = SidecarFixture.get("partial", 30_000);
+                partial.send(partialRequest.substring(0, 30));
                 fixture.sidecar.shutDownGracefully(stopped::countDown);
-                try (StubServer.Client fresh = fixture.client()) {
-                    fresh.send(SidecarFixture.get("fresh", 30_000));
-                    StubServer.Message m = fresh.answer();
-                    assertEquals("fresh", m.body());
-                    assertEquals("close", m.header("Connection"));
-                    assertEquals(null, fresh.answer());
+                try (StubServer.Client connectedLater = fixture.client()) {
+                    connectedLater.send(SidecarFixture.get("later", 30_000));
+                    assertLastResponse("later", connectedLater.answer());
+                    assertEquals(null, connectedLater.answer());
                 }
                 // An idle connection is closed; until then it is served.
                 assertEquals(null, idle.answer());
-                half.send(text.substring(30));
-                StubServer.Message late = half.answer();
-                assertEquals("half", late.body());
-                assertEquals("close", late.header("Connection"));
-                assertEquals(1, stopped.getCount(), "it stopped with a request held");
-                answer.countDown();
+                partial.send(partialRequest.substring(30));
+                assertLastResponse("partial", partial.answer());
+                assertEquals(1, stopped.getCount(), "it stopped with a request in flight");
+                released.countDown();
                 assertEquals("held", held.answer().body());
                 assertEquals(null, held.answer());
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
@@ -62,25 +64,16 @@
     }
 
     /**
-     * While descriptors are wanting, clients wait in the backlog, where closing the listener would reset them: their
-     * requests are taken all the same. The idle connections' end shows that the time to close it has come.
+     * Without a free descriptor clients wait in the backlog, where closing the listener would reset them. That idle
+     * connections are closed shows that the listener might be closed by then.
      */
     @Test
-    void whatWaitsInTheBacklogForDescriptorsIsServedBeforeTheEnd() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
+    void clientsThatWaitInTheBacklogForDescriptorsAreServed() throws Exception {
+        CountDownLatch released = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer up = fixture.upstream((m, line) -> {
-                if (m.header("X-Txn").startsWith("held")) {
-                    try {
-                        answer.await();
-                    } catch (InterruptedException e) {
-                        throw new java.io.InterruptedIOException();
-                    }
-                }
-                line.answer("200 OK", "", m.header("X-Txn"));
-            });
-            // 48 for the program itself: 15 with a request on a connection of its own, and 2 idle clients, fill the
-            // rest.
+            StubServer endpoint = fixture.upstream(holding("held", released));
+            // 48 are reserved. 15 requests, each with a client's and an upstream connection, and 2 idle clients take
+            // the rest.
             fixture.descriptorLimit = 48 + 32;
             fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
@@ -88,24 +81,21 @@
             for (int i = 0; i < held.length; i++) {
                 held[i] = fixture.client();
                 held[i].send(SidecarFixture.get("held" + i, 30_000));
-                up.next();
+                endpoint.next();
             }
-            try (StubServer.Client idle = fixture.client();
-                    StubServer.Client other = fixture.client()) {
-                for (StubServer.Client c : new StubServer.Client[] {idle, other}) {
-                    assertEquals(
-                            404,
-                            c.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n").status());
-                }
-                try (StubServer.Client late = fixture.client()) {
-                    late.send(SidecarFixture.get("late", 30_000));
+            try (StubServer.Client firstIdle = fixture.client();
+                    StubServer.Client secondIdle = fixture.client()) {
+                assertNotFound(firstIdle);
+                assertNotFound(secondIdle);
+                try (StubServer.Client waiting = fixture.client()) {
+                    waiting.send(SidecarFixture.get("waiting", 30_000));
                     fixture.sidecar.shutDownGracefully(stopped::countDown);
-                    assertTrue(idle.ended());
-                    assertTrue(other.ended());
-                    assertEquals("late", late.answer().body());
+                    assertTrue(firstIdle.ended());
+                    assertTrue(secondIdle.ended());
+                    assertEquals("waiting", waiting.answer().body());
                 }
             }
-            answer.countDown();
+            released.countDown();
             for (int i = 0; i < held.length; i++) {
                 assertEquals("held" + i, held[i].answer().body());
                 held[i].close();
@@ -114,72 +104,71 @@
         }
     }
 
-    /** The kill comes a while after the longest deadline: later than it, an answer is for nobody. */
+    private static void assertNotFound(StubServer.Client client) throws Exception {
+        client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
+        assertEquals(404, client.status());
+    }
+
+    /** The platform kills the process a while after the longest deadline: a later answer would not be sent. */
     @Test
-    void whatComesDuringTheStopIsAnsweredBeforeTheKill() throws Exception {
+    void requestsDuringTheShutdownAreDueBeforeTheProcessIsKilled() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((m, line) -> {});
+            fixture.upstream((request, connection) -> {});
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.get("before", 30_000));
-                assertTrue(remainingUs(fixture.await("request before")) > 20_000_000);
+                assertTrue(SidecarFixture.remainingMicros(fixture.await("request before")) > 20_000_000);
                 fixture.sidecar.shutDownGracefully(() -> {});
-                try (StubServer.Client late = fixture.client()) {
-                    late.send(SidecarFixture.get("late", 30_000));
-                    assertTrue(remainingUs(fixture.await("request late")) <= 3_700_000);
+                try (StubServer.Client connectedLater = fixture.client()) {
+                    connectedLater.send(SidecarFixture.get("later", 30_000));
+                    assertTrue(SidecarFixture.remainingMicros(fixture.await("request later")) <= 3_700_000);
                 }
             }
         }
     }
 
-    private static long remainingUs(String told) {
-        return Long.parseLong(told.substring(told.lastIndexOf(' ') + 1));
-    }
-
-    /** Half a request whose client has fallen silent holds up the stop no longer than a client would wait. */
+    /** A partial request whose client sends no more delays the end no longer than a client would wait. */
     @Test
-    void aClientThatFellSilentDoesNotKeepTheSidecarFromEnding() throws Exception {
+    void aSilentClientDoesNotPreventTheEnd() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (StubServer.Client half = fixture.client()) {
-                half.send("GET /api HTTP/1.1\r\nX-T");
+            try (StubServer.Client partial = fixture.client()) {
+                partial.send("GET /api HTTP/1.1\r\nX-T");
                 fixture.sidecar.shutDownGracefully(stopped::countDown);
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
-                assertEquals(408, half.status());
+                assertEquals(408, partial.status());
             }
         }
     }
 
-    /** An application that opens a connection for each request would else use up its part of the descriptors. */
+    /** An application that opens a connection for each request would otherwise use up its part of the descriptors. */
     @Test
-    void beyondTheSpareConnectionsAnAnswerClosesItsOwn() throws Exception {
+    void beyondTheIdleConnectionsResponsesCloseTheirConnection() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.upstream(StubServer.respondingWith("ok"));
             fixture.descriptorLimit = 120;
             fixture.start();
             StubServer.Client[] clients = new StubServer.Client[120 / 12 + 2];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = fixture.client();
                 clients[i].send(SidecarFixture.get("c" + i, 30_000));
-                String says = clients[i].answer().header("Connection");
-                assertEquals(i < 120 / 12 ? null : "close", says, "connection " + i);
+                String connectionHeader = clients[i].answer().header("Connection");
+                assertEquals(i < 120 / 12 ? null : "close", connectionHeader, "connection " + i);
             }
             assertTrue(clients[clients.length - 1].ended());
-            // One that is used again, or is closed, makes its place free.
+            // A connection that is used again, or is closed, is no idle one.
             clients[0].send(SidecarFixture.get("again", 30_000));
             assertEquals(null, clients[0].answer().header("Connection"));
-            for (StubServer.Client c : clients) {
-                c.close();
-            }
+            closeAll(clients);
         }
     }
 
-    /** Beyond the cap an idle connection makes room; otherwise new ones would wait for ever. */
+    /** Beyond the limit the longest idle connection is closed; otherwise new clients would wait for ever. */
     @Test
     void idleClientsMakeRoomForNewOnes() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.upstream(StubServer.respondingWith("ok"));
             fixture.descriptorLimit = 64 + 2 * 16;
             fixture.start();
             StubServer.Client[] clients = new StubServer.Client[40];
@@ -189,9 +178,13 @@
                 assertEquals(200, clients[i].status());
             }
             assertEquals(null, clients[0].answer());
-            for (StubServer.Client c : clients) {
-                c.close();
-            }
+            closeAll(clients);
+        }
+    }
+
+    private static void closeAll(StubServer.Client[] clients) throws Exception {
+        for (StubServer.Client client : clients) {
+            client.close();
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -12,22 +12,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The event loop stands still for a while, with requests, deadlines and bytes waiting on real sockets. */
+/** The event loop is blocked for a while, with requests, deadlines and bytes waiting on real sockets. */
 @Timeout(60)
 class LateEventLoopTest {
-    private static final long STANDSTILL_MS = 600;
-    private static final long SHORT_MS = 300;
-    private static final long LONG_MS = 20_000;
-    /** The loop knows of its lateness by its tick, which was due within a tenth of a second. */
-    private static final long LEAST_KNOWN_MS = STANDSTILL_MS - 200;
+    private static final long BLOCKED_MILLIS = 600;
+    private static final long SHORT_DEADLINE_MILLIS = 300;
+    private static final long LONG_DEADLINE_MILLIS = 20_000;
+    /** The loop measures its lag by a periodic task, which was due within a tenth of a second. */
+    private static final long MIN_MEASURED_LAG_MILLIS = BLOCKED_MILLIS - 200;
 
     @Test
-    void whatIsOwedGoesOutBeforeWhatIsNewAndWhatWaitedTooLongIsAnsweredAtOnce() throws Exception {
+    void overdueAnswersPrecedeNewRequestsAndRequestsThatWaitedTooLongAreRefused() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            fixture.onRequest = (now, r, out) -> {
-                if (!r.id().startsWith("held")) {
-                    out.sendAttempt(r.id(), "u0", 0);
+            fixture.upstream(StubServer.respondingWith("ok"));
+            fixture.onRequest = (now, request, actions) -> {
+                if (!request.id().startsWith("held")) {
+                    actions.sendAttempt(request.id(), "u0", 0);
                 }
             };
             fixture.start();
@@ -35,76 +35,82 @@
                     StubServer.Client second = fixture.client();
                     StubServer.Client tooLate = fixture.client();
                     StubServer.Client inTime = fixture.client()) {
-                first.send(SidecarFixture.get("held-1", SHORT_MS + 100));
+                first.send(SidecarFixture.get("held-1", SHORT_DEADLINE_MILLIS + 100));
                 fixture.await("request held-1");
-                second.send(SidecarFixture.get("held-2", SHORT_MS));
+                second.send(SidecarFixture.get("held-2", SHORT_DEADLINE_MILLIS));
                 fixture.await("request held-2");
-                CountDownLatch standing = new CountDownLatch(1);
-                CountDownLatch goOn = new CountDownLatch(1);
-                fixture.eventLoop.eventLoop().execute(() -> {
-                    standing.countDown();
-                    awaitUninterruptibly(goOn);
-                });
-                standing.await();
-                // Both wait in their sockets for as long as the loop stands still.
-                tooLate.send(SidecarFixture.get("short", SHORT_MS));
-                inTime.send(SidecarFixture.get("long", LONG_MS));
-                Thread.sleep(STANDSTILL_MS);
-                goOn.countDown();
+                CountDownLatch unblocked = blockEventLoop(fixture);
+                // Both wait in their sockets for as long as the loop is blocked.
+                tooLate.send(SidecarFixture.get("short", SHORT_DEADLINE_MILLIS));
+                inTime.send(SidecarFixture.get("long", LONG_DEADLINE_MILLIS));
+                Thread.sleep(BLOCKED_MILLIS);
+                unblocked.countDown();
                 assertEquals(502, first.status());
                 assertEquals(502, second.status());
                 assertEquals(502, tooLate.status());
                 assertEquals(200, inTime.status());
-                List<String> told = new ArrayList<>();
-                fixture.events.drainTo(told);
-                int began = indexOf(told, "request long ");
-                assertTrue(indexOf(told, "expired held-2") < indexOf(told, "expired held-1"), told::toString);
-                assertTrue(indexOf(told, "expired held-1") < began, told::toString);
-                assertFalse(told.stream().anyMatch(line -> line.startsWith("request short")), told::toString);
-                long leftUs = Long.parseLong(told.get(began).split(" ")[2]);
-                assertTrue(leftUs <= (LONG_MS - LEAST_KNOWN_MS) * 1000, told::toString);
+                assertEventsAfterBlocking(fixture);
             }
         }
     }
 
-    /** Where the loop was late by that much of late, answers leave so much earlier, up to a quarter of their time. */
+    private static void assertEventsAfterBlocking(SidecarFixture fixture) {
+        List<String> events = new ArrayList<>();
+        fixture.events.drainTo(events);
+        int longRequest = indexOf(events, "request long ");
+        assertTrue(indexOf(events, "expired held-2") < indexOf(events, "expired held-1"), events::toString);
+        assertTrue(indexOf(events, "expired held-1") < longRequest, events::toString);
+        assertFalse(events.stream().anyMatch(event -> event.startsWith("request short")), events::toString);
+        long remainingMicros = SidecarFixture.remainingMicros(events.get(longRequest));
+        assertTrue(remainingMicros <= (LONG_DEADLINE_MILLIS - MIN_MEASURED_LAG_MILLIS) * 1000, events::toString);
+    }
+
+    /** Returns when the event loop is blocked, until the latch is released. */
+    private static CountDownLatch blockEventLoop(SidecarFixture fixture) throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch unblocked = new CountDownLatch(1);
+        fixture.eventLoop.eventLoop().execute(() -> {
+            blocked.countDown();
+            awaitUninterruptibly(unblocked);
+        });
+        blocked.await();
+        return unblocked;
+    }
+
+    /** Answers are due earlier by the recent lag, but by a quarter of the remaining time at most. */
     @Test
-    void answersLeaveEarlierWhereTheLoopWasLate() throws Exception {
+    void answersAreDueEarlierAfterALag() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.onRequest = (now, r, out) -> {};
+            fixture.onRequest = (now, request, actions) -> {};
             fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("before", LONG_MS));
-                assertTrue(leftUs(fixture.await("request before")) > (LONG_MS - 100) * 1000);
-                fixture.eventLoop
-                        .eventLoop()
-                        .submit(() -> fixture.eventLoop.recordLag(1_000_000))
-                        .sync();
-            }
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("after", LONG_MS));
-                long leftUs = leftUs(fixture.await("request after"));
-                assertTrue(leftUs < (LONG_MS - 700) * 1000, "left " + leftUs);
-            }
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("quarter", 400));
-                long leftUs = leftUs(fixture.await("request quarter"));
-                assertTrue(leftUs <= 300_000, "left " + leftUs);
-            }
+            assertTrue(
+                    remainingMicrosOf(fixture, "before", LONG_DEADLINE_MILLIS) > (LONG_DEADLINE_MILLIS - 100) * 1000);
+            fixture.eventLoop
+                    .eventLoop()
+                    .submit(() -> fixture.eventLoop.recordLag(1_000_000))
+                    .sync();
+            long afterLag = remainingMicrosOf(fixture, "after", LONG_DEADLINE_MILLIS);
+            assertTrue(afterLag < (LONG_DEADLINE_MILLIS - 700) * 1000, "remaining " + afterLag);
+            long shortDeadline = remainingMicrosOf(fixture, "quarter", 400);
+            assertTrue(shortDeadline <= 300_000, "remaining " + shortDeadline);
         }
     }
 
-    private static long leftUs(String told) {
-        return Long.parseLong(told.split(" ")[2]);
+    private static long remainingMicrosOf(SidecarFixture fixture, String requestId, long deadlineMillis)
+            throws Exception {
+        try (StubServer.Client client = fixture.client()) {
+            client.send(SidecarFixture.get(requestId, deadlineMillis));
+            return SidecarFixture.remainingMicros(fixture.await("request " + requestId));
+        }
     }
 
-    private static int indexOf(List<String> told, String start) {
-        for (int i = 0; i < told.size(); i++) {
-            if (told.get(i).startsWith(start)) {
+    private static int indexOf(List<String> events, String prefix) {
+        for (int i = 0; i < events.size(); i++) {
+            if (events.get(i).startsWith(prefix)) {
                 return i;
             }
         }
-        throw new AssertionError("not told '" + start + "': " + told);
+        throw new AssertionError("no event begins with '" + prefix + "': " + events);
     }
 
     private static void awaitUninterruptibly(CountDownLatch latch) {
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Code that has never run is slow: full traffic must not be what warms it up, and must not wait for it either. */
+/** A warm-up serves some requests before readiness, and ends with the first request of a client. */
 @Timeout(60)
 class StartupWarmUpTest {
     @Test
-    void itPlaysRequestsThroughTheModuleAndTheSockets() throws Exception {
-        AtomicInteger served = new AtomicInteger();
-        CountDownLatch many = new CountDownLatch(1);
+    void itServesSomeRequestsThroughTheLoadBalancerAndTheSockets() throws Exception {
+        AtomicInteger servedAttempts = new AtomicInteger();
+        CountDownLatch enoughServed = new CountDownLatch(1);
         LoadBalancerFactory counting = (config, now, actions) -> {
             LoadBalancer policy = new LoadBalancingPolicy(config.settings(), config.seed(), now, actions);
             return (LoadBalancer) Proxy.newProxyInstance(
@@ -31,8 +31,8 @@
                     (proxy, method, arguments) -> {
                         if (arguments[arguments.length - 1] instanceof AttemptResult result
                                 && result.outcome() == AttemptOutcome.OK
-                                && served.incrementAndGet() >= 10) {
-                            many.countDown();
+                                && servedAttempts.incrementAndGet() >= 10) {
+                            enoughServed.countDown();
                         }
                         return method.invoke(policy, arguments);
                     });
@@ -44,16 +44,16 @@
                         + SidecarFixture.SETTINGS + "}"),
                 counting);
         warmUp.run();
-        assertTrue(many.await(0, TimeUnit.SECONDS), served + " were served");
-        // Nor any longer than it helps: the application waits for its end.
-        assertTrue(served.get() < 20, served + " were served");
+        assertTrue(enoughServed.await(0, TimeUnit.SECONDS), servedAttempts + " were served");
+        // The application waits for the end of the warm-up.
+        assertTrue(servedAttempts.get() < 20, servedAttempts + " were served");
     }
 
     @Test
-    void untilItIsOverTheSidecarIsNotReadyButARequestIsServedAndEndsIt() throws Exception {
+    void untilItsEndTheSidecarIsNotReadyButServesARequestWhichEndsIt() throws Exception {
         CountDownLatch interrupted = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            fixture.upstream(StubServer.respondingWith("ok"));
             fixture.warmUpInterrupt = interrupted::countDown;
             fixture.start();
             fixture.await("list DELTA");
--- a/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
@@ -12,11 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Lines are dropped and counted where nobody reads the log. */
 @Timeout(60)
 class SidecarLogTest {
     private static final String MARKER = "sidecar_log_test line=";
 
-    /** A pipe that nobody reads: its writer stands still, and who logs does not. */
+    /** A pipe that nobody reads: a write to it blocks until it is released. */
     private static final class BlockedStream extends ByteArrayOutputStream {
         final CountDownLatch reached = new CountDownLatch(1);
         final CountDownLatch released = new CountDownLatch(1);
@@ -32,7 +33,7 @@
             super.write(bytes, from, length);
         }
 
-        List<String> marked() {
+        List<String> markedLines() {
             return toString(StandardCharsets.UTF_8)
                     .lines()
                     .filter(line -> line.contains(MARKER))
@@ -41,7 +42,7 @@
     }
 
     @Test
-    void whoLogsNeverWaitsForTheReader() throws Exception {
+    void loggingNeverBlocks() throws Exception {
         PrintStream originalErr = System.err;
         BlockedStream pipe = new BlockedStream();
         System.setErr(new PrintStream(pipe, true));
@@ -52,7 +53,7 @@
             for (int i = 0; i < lines; i++) {
                 SidecarLog.info(MARKER + i);
             }
-            assertEquals(0, pipe.marked().size());
+            assertEquals(0, pipe.markedLines().size());
             pipe.released.countDown();
             SidecarLog.flush();
             String droppedLine = pipe.toString(StandardCharsets.UTF_8)
@@ -63,11 +64,12 @@
             int dropped = Integer.parseInt(droppedLine.replace("load-balancer: log_lines_dropped count=", ""));
             // Others may log in this process too.
             assertTrue(
-                    pipe.marked().size() <= SidecarLog.MAX_PENDING + 1,
-                    pipe.marked().size() + " lines");
+                    pipe.markedLines().size() <= SidecarLog.MAX_PENDING + 1,
+                    pipe.markedLines().size() + " lines");
             assertTrue(
-                    pipe.marked().size() + dropped >= lines + 1, pipe.marked().size() + " lines, " + droppedLine);
-            assertTrue(pipe.marked().get(0).endsWith("first"));
+                    pipe.markedLines().size() + dropped >= lines + 1,
+                    pipe.markedLines().size() + " lines, " + droppedLine);
+            assertTrue(pipe.markedLines().get(0).endsWith("first"));
         } finally {
             pipe.released.countDown();
             System.setErr(originalErr);
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -205,6 +205,11 @@
         throw new AssertionError("no event begins with '" + prefix + "'");
     }
 
+    /** The remaining time that a {@code request} event names. */
+    public static long remainingMicros(String requestEvent) {
+        return Long.parseLong(requestEvent.split(" ")[2]);
+    }
+
     @Override
     public void close() throws Exception {
         if (sidecar != null) {
--- a/src/test/java/loadbalancer/proxy/testing/StubServer.java
+++ b/src/test/java/loadbalancer/proxy/testing/StubServer.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.InterruptedIOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -12,6 +13,7 @@
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
@@ -25,6 +27,25 @@
         void handle(Message request, Connection connection) throws IOException;
     }
 
+    /** Answers every request with 200 and this body. */
+    public static Script respondingWith(String body) {
+        return (request, connection) -> connection.answer("200 OK", "", body);
+    }
+
+    /** Answers every request with 200 and the request's identifier as the body. */
+    public static Script echoingRequestId() {
+        return (request, connection) -> connection.answer("200 OK", "", request.header("X-Txn"));
+    }
+
+    /** Blocks the script of a connection until the latch is released. */
+    public static void awaitLatch(CountDownLatch latch) throws InterruptedIOException {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            throw new InterruptedIOException();
+        }
+    }
+
     /** A request or response as it was received. */
     public record Message(String head, String body) {
         public String path() {
