--- a/src/main/java/loadbalancer/proxy/client/RequestExchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -93,11 +93,11 @@
         for (int number = 0; number < attempts.size(); number++) {
             UpstreamCall attempt = attempts.get(number);
             line.append(" attempt=").append(number);
-            line.append(" endpoint=").append(attempt.upstream());
-            line.append(" started_millis=").append(millisSinceDispatch(attempt.sentUs()));
+            line.append(" endpoint=").append(attempt.endpoint());
+            line.append(" started_millis=").append(millisSinceDispatch(attempt.sentMicros()));
             if (attempt.ended()) {
                 line.append(" outcome=").append(attempt.outcome());
-                line.append(" ended_millis=").append(millisSinceDispatch(attempt.endedUs()));
+                line.append(" ended_millis=").append(millisSinceDispatch(attempt.endedMicros()));
             }
         }
         return line.toString();
