--- a/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
@@ -66,7 +66,7 @@
      * it is the first and was there right after the connection was accepted. Call before {@link #requestReceived}.
      */
     long requestBacklogWaitMicros() {
-        boolean prompt = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.FRESH_US;
+        boolean prompt = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
         return !requestReceived && prompt ? backlogWaitMicros : 0;
     }
 
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -68,7 +68,7 @@
 
     /** Waits first until a read from before the clients disconnected is too old to start an attempt after. */
     private void unblockLoop(StubServer.Client blocker) throws Exception {
-        Thread.sleep(2 * ReadTrackingEventLoop.FRESH_US / 1000);
+        Thread.sleep(2 * ReadTrackingEventLoop.MAX_READ_AGE_MICROS / 1000);
         unblock.release();
         assertEquals(502, blocker.status());
     }
@@ -180,7 +180,7 @@
             if (request.id().startsWith("warm")) {
                 out.sendAttempt(request.id(), "u1", 0);
             } else if (request.id().startsWith("rest")) {
-                out.startTimer("rested", 2 * UpstreamConnectionPool.REST_US);
+                out.startTimer("rested", 2 * UpstreamConnectionPool.REUSE_DELAY_MICROS);
                 out.fail(request.id());
             } else {
                 others.handle(now, request, out);
--- a/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
@@ -60,7 +60,7 @@
         assertEquals(0, activity.requestBacklogWaitMicros());
 
         ConnectionActivity late = new ConnectionActivity(ACCEPTED_MICROS, BACKLOG_WAIT_MICROS);
-        late.bytesReceived(ACCEPTED_MICROS + ReadTrackingEventLoop.FRESH_US);
+        late.bytesReceived(ACCEPTED_MICROS + ReadTrackingEventLoop.MAX_READ_AGE_MICROS);
         assertEquals(0, late.requestBacklogWaitMicros());
     }
 }
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -6,36 +6,36 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopMonitorTest {
-    /** Only a late tick is told, by what was longest since the one before, and not again within a second. */
+    /** Only a late loop is reported, with the longest task of the interval, and not again within a second. */
     @Test
-    void aLateTickTellsWhatCameSinceTheOneBefore() {
+    void aLateLoopIsReportedWithTheLongestTaskOfTheInterval() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.taskFinished("before the start", clock.nowMicros() - 900_000);
-        assertNull(monitor.tick(300_000));
+        assertNull(monitor.checkLag(300_000));
         monitor.start();
         monitor.taskFinished("short", clock.nowMicros() - 2_000);
-        assertNull(monitor.tick(100_000));
+        assertNull(monitor.checkLag(100_000));
         monitor.taskFinished("long", clock.nowMicros() - 500_000);
         monitor.taskFinished("short", clock.nowMicros() - 2_000);
-        String line = monitor.tick(300_000);
-        assertTrue(line.startsWith("the event loop was late by 300 ms; longest: long, 5"), line);
-        assertNull(monitor.tick(300_000));
+        String line = monitor.checkLag(300_000);
+        assertTrue(line.startsWith("event_loop_late lag_millis=300 longest_task=\"long\" longest_task_millis=5"), line);
+        assertNull(monitor.checkLag(300_000));
     }
 
-    /** A loop that had no processor and one that was busy itself look alike but for this. */
+    /** This tells a loop without a processor from one that was busy itself. */
     @Test
-    void aLateTickTellsWhatTheThreadsRan() {
+    void aLateLoopIsReportedWithTheTimesOfTheThreads() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.start();
-        long until = System.nanoTime() + 50_000_000;
+        long deadlineNanos = System.nanoTime() + 50_000_000;
         long iterations = 0;
-        while (System.nanoTime() < until) {
+        while (System.nanoTime() < deadlineNanos) {
             iterations++;
         }
         assertTrue(iterations > 0);
-        String line = monitor.tick(300_000);
-        assertTrue(line.matches(".* ms ([^,]+ ran \\d+ ms and waited \\d+ for a processor(, )?)+"), line);
+        String line = monitor.checkLag(300_000);
+        assertTrue(line.matches(".* window_millis=\\d+( thread=\"[^\"]+\" ran_millis=\\d+ waited_millis=\\d+)+"), line);
     }
 }
