--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -43,27 +43,16 @@
     @BeforeEach
     void start() throws Exception {
         loop.submit(() -> {
-                    LoadBalancerExecutor decisions = new LoadBalancerExecutor(clock, new EventLoopMonitor(clock));
-                    decisions.start(
-                            out -> (LoadBalancer) Proxy.newProxyInstance(
-                                    getClass().getClassLoader(),
-                                    new Class<?>[] {LoadBalancer.class},
-                                    (self, method, arguments) -> {
-                                        String outcome = arguments[arguments.length - 1] instanceof AttemptResult result
-                                                ? " " + result.requestId() + " " + result.outcome() + " "
-                                                        + result.requestDone()
-                                                : "";
-                                        events.add(method.getName() + outcome);
-                                        return null;
-                                    }),
-                            null);
+                    LoadBalancerExecutor loadBalancer = new LoadBalancerExecutor(clock, new EventLoopMonitor(clock));
+                    loadBalancer.start(actions -> recordingLoadBalancer(), null);
                     upstreams = new UpstreamConnectionPool(
                             reads,
                             new UpstreamTimeouts(15_000_000, 2_000_000, 20_000),
                             0,
                             () -> 100,
                             new TrafficStatistics());
-                    dispatcher = new RequestDispatcher(loop, clock, decisions, upstreams, 4, new TrafficStatistics());
+                    dispatcher =
+                            new RequestDispatcher(loop, clock, loadBalancer, upstreams, 4, new TrafficStatistics());
                 })
                 .sync();
     }
@@ -73,6 +62,21 @@
         reads.shutDown();
     }
 
+    /** Does nothing, and records each of its calls: the name of the method and the result of an attempt. */
+    private LoadBalancer recordingLoadBalancer() {
+        return (LoadBalancer) Proxy.newProxyInstance(
+                getClass().getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
+                    events.add(method.getName() + describeResult(arguments[arguments.length - 1]));
+                    return null;
+                });
+    }
+
+    private static String describeResult(Object argument) {
+        return argument instanceof AttemptResult result
+                ? " " + result.requestId() + " " + result.outcome() + " " + result.requestDone()
+                : "";
+    }
+
     private RequestExchange exchange(String id) {
         return new RequestExchange(
                 new Request(id, -1, false, false, 0, 20_000_000, "t", "c"),
