--- a/src/test/java/loadbalancer/proxy/observability/TrafficStatisticsTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/TrafficStatisticsTest.java
@@ -17,8 +17,8 @@
         statistics.requestRejected("b");
         String line = statistics.summarizeAndReset(1, 0, 0);
         assertTrue(
-                line.startsWith(
-                        "totals class=a accepted=1 served=1 rejected=0 class=b accepted=2 served=0 rejected=1 failed=0 "),
+                line.startsWith("totals class=a accepted=1 served=1 rejected=0"
+                        + " class=b accepted=2 served=0 rejected=1 failed=0 "),
                 line);
         assertEquals(null, statistics.summarizeAndReset(0, 0, 0));
     }
