--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -17,15 +17,19 @@
 /** What an endpoint does, and the outcome that the decision module gets. */
 @Timeout(60)
 class AttemptOutcomeTest {
+    /** A sidecar with one endpoint, {@code u0}, that handles requests by {@code script}. */
+    private static SidecarFixture started(StubServer.Script script) throws Exception {
+        SidecarFixture fixture = new SidecarFixture();
+        fixture.upstream(script);
+        return fixture.start();
+    }
+
     private static void assertOutcome(String expected, int status, StubServer.Script script) throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream(script);
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 " + expected, fixture.await("outcome"));
-                assertEquals(status, client.status());
-            }
+        try (SidecarFixture fixture = started(script);
+                StubServer.Client client = fixture.client()) {
+            client.send(SidecarFixture.get("a1", 20_000));
+            assertEquals("outcome a1 0 " + expected, fixture.await("outcome"));
+            assertEquals(status, client.status());
         }
     }
 
@@ -133,17 +137,15 @@
             "noise\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Le"
         }) {
-            try (SidecarFixture fixture = new SidecarFixture()) {
-                StubServer server = fixture.upstream((request, connection) -> connection.write(
-                        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("X-Txn") + trailing));
-                fixture.start();
-                try (StubServer.Client client = fixture.client()) {
-                    for (String id : new String[] {"a1", "a2", "a3"}) {
-                        client.send(SidecarFixture.get(id, 20_000));
-                        assertEquals(id, client.answer().body());
-                    }
-                    assertEquals(3, server.accepted.size(), "a connection with unread bytes was reused");
+            try (SidecarFixture fixture = started((request, connection) -> connection.write(
+                            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("X-Txn") + trailing));
+                    StubServer.Client client = fixture.client()) {
+                StubServer server = fixture.endpointServers.get(0);
+                for (String id : new String[] {"a1", "a2", "a3"}) {
+                    client.send(SidecarFixture.get(id, 20_000));
+                    assertEquals(id, client.answer().body());
                 }
+                assertEquals(3, server.accepted.size(), "a connection with unread bytes was reused");
             }
         }
     }
@@ -179,132 +181,116 @@
 
     @Test
     void aRefusedConnectionIsAFailureToConnect() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((request, connection) -> {}).close();
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 CONNECT_FAILED false -", fixture.await("outcome"));
-            }
+        try (SidecarFixture fixture = started((request, connection) -> {});
+                StubServer.Client client = fixture.client()) {
+            fixture.endpointServers.get(0).close();
+            client.send(SidecarFixture.get("a1", 20_000));
+            assertEquals("outcome a1 0 CONNECT_FAILED false -", fixture.await("outcome"));
         }
     }
 
     /** A late response to a call that was given up must reach nobody, so the connection may not be reused. */
     @Test
     void aTimeoutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer server = fixture.upstream((request, connection) -> {});
+        try (SidecarFixture fixture = started((request, connection) -> {});
+                StubServer.Client client = fixture.client()) {
+            StubServer server = fixture.endpointServers.get(0);
             fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 100_000);
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 TIMEOUT false -", fixture.await("outcome"));
-                assertEquals(-1, server.accepted.take().getInputStream().read(), "the connection was left open");
-                assertEquals(502, client.status());
-                server.script = (request, connection) -> connection.answer("200 OK", "", "fresh");
-                fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
-                client.send(SidecarFixture.get("a2", 20_000));
-                assertEquals("fresh", client.answer().body());
-                assertNotNull(server.accepted.poll(20, TimeUnit.SECONDS));
-            }
+            client.send(SidecarFixture.get("a1", 20_000));
+            assertEquals("outcome a1 0 TIMEOUT false -", fixture.await("outcome"));
+            assertEquals(-1, server.accepted.take().getInputStream().read(), "the connection was left open");
+            assertEquals(502, client.status());
+            server.script = (request, connection) -> connection.answer("200 OK", "", "fresh");
+            fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
+            client.send(SidecarFixture.get("a2", 20_000));
+            assertEquals("fresh", client.answer().body());
+            assertNotNull(server.accepted.poll(20, TimeUnit.SECONDS));
         }
     }
 
     @Test
     void aCancelledAttemptClosesItsConnection() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((request, connection) -> {});
+        try (SidecarFixture fixture = started((request, connection) -> {});
+                StubServer.Client client = fixture.client()) {
             fixture.onRequest = (now, request, out) -> {
                 out.sendAttempt(request.id(), "u0", 0);
                 out.cancelAttempt(request.id(), 0);
             };
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals("outcome a1 0 CANCELLED false -", fixture.await("outcome"));
-            }
+            client.send(SidecarFixture.get("a1", 20_000));
+            assertEquals("outcome a1 0 CANCELLED false -", fixture.await("outcome"));
         }
     }
 
     /** Neither the library nor the pool may send a request twice: the loss of a stale connection is an outcome. */
     @Test
     void aStaleConnectionIsAResetWithoutARetry() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            Set<Socket> usedSockets = ConcurrentHashMap.newKeySet();
-            StubServer server = fixture.upstream((request, connection) -> {
-                if (usedSockets.add(connection.socket())) {
-                    connection.answer("200 OK", "", "one");
-                } else {
-                    connection.reset();
-                }
-            });
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                int calls = 0;
-                String outcome;
-                // The first call on a connection that is reused meets the reset.
-                do {
-                    client.send(SidecarFixture.get("a" + ++calls, 20_000));
-                    outcome = fixture.await("outcome a" + calls);
-                    assertEquals(outcome.contains(" OK ") ? 200 : 502, client.status());
-                } while (outcome.contains(" OK "));
-                assertEquals("outcome a" + calls + " 0 RESET false -", outcome);
-                assertEquals(calls, server.messages.size());
-                assertEquals(calls - 1, server.accepted.size(), "the last call did not use an idle connection");
-            }
+        Set<Socket> usedSockets = ConcurrentHashMap.newKeySet();
+        try (SidecarFixture fixture = started((request, connection) -> {
+                    if (usedSockets.add(connection.socket())) {
+                        connection.answer("200 OK", "", "one");
+                    } else {
+                        connection.reset();
+                    }
+                });
+                StubServer.Client client = fixture.client()) {
+            StubServer server = fixture.endpointServers.get(0);
+            int calls = 0;
+            String outcome;
+            // The first call on a connection that is reused meets the reset.
+            do {
+                client.send(SidecarFixture.get("a" + ++calls, 20_000));
+                outcome = fixture.await("outcome a" + calls);
+                assertEquals(outcome.contains(" OK ") ? 200 : 502, client.status());
+            } while (outcome.contains(" OK "));
+            assertEquals("outcome a" + calls + " 0 RESET false -", outcome);
+            assertEquals(calls, server.messages.size());
+            assertEquals(calls - 1, server.accepted.size(), "the last call did not use an idle connection");
         }
     }
 
     /** A call written to a connection that the endpoint announced to close would end as a reset. */
     @Test
     void aConnectionThatTheEndpointClosesIsNotReused() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer server = fixture.upstream(
-                    (request, connection) -> connection.answer("200 OK", "Connection: close\r\n", "one"));
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                for (String id : new String[] {"a1", "a2"}) {
-                    client.send(SidecarFixture.get(id, 20_000));
-                    assertEquals(200, client.status());
-                }
-                assertEquals(2, server.accepted.size());
+        try (SidecarFixture fixture =
+                        started((request, connection) -> connection.answer("200 OK", "Connection: close\r\n", "one"));
+                StubServer.Client client = fixture.client()) {
+            StubServer server = fixture.endpointServers.get(0);
+            for (String id : new String[] {"a1", "a2"}) {
+                client.send(SidecarFixture.get(id, 20_000));
+                assertEquals(200, client.status());
             }
+            assertEquals(2, server.accepted.size());
         }
     }
 
     /** Endpoints send more than the protocol says; such a response would be rejected from each of them in turn. */
     @Test
     void aLargeResponsePasses() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((request, connection) -> connection.answer("200 OK", "", "z".repeat(400_000)));
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals(400_000, client.answer().body().length());
-            }
+        try (SidecarFixture fixture =
+                        started((request, connection) -> connection.answer("200 OK", "", "z".repeat(400_000)));
+                StubServer.Client client = fixture.client()) {
+            client.send(SidecarFixture.get("a1", 20_000));
+            assertEquals(400_000, client.answer().body().length());
         }
     }
 
     @Test
     void requestAndResponsePassUnchanged() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer server = fixture.upstream(
-                    (request, connection) -> connection.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
-            fixture.start();
-            try (StubServer.Client client = fixture.client()) {
-                client.send(
-                        "POST /api/x?y=%20z HTTP/1.1\r\nHost: a\r\nX-Txn: q7\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\n"
-                                + "Idempotency-Key: k9\r\nContent-Length: 5\r\n\r\nh\u00e9llo");
-                StubServer.Message response = client.answer();
-                assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), response.body());
-                StubServer.Message sent = server.next();
-                assertTrue(sent.head().startsWith("POST /api/x?y=%20z HTTP/1.1\r\n"), sent.head());
-                assertEquals("q7", sent.header("X-Txn"));
-                assertEquals("k9", sent.header("Idempotency-Key"));
-                assertEquals("h\u00e9llo", sent.body());
-                int remainingMillis = Integer.parseInt(sent.header("X-Remaining-Ms"));
-                assertTrue(remainingMillis > 0 && remainingMillis <= 9000, "waits " + remainingMillis);
-            }
+        try (SidecarFixture fixture = started((request, connection) ->
+                        connection.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
+                StubServer.Client client = fixture.client()) {
+            StubServer server = fixture.endpointServers.get(0);
+            client.send("POST /api/x?y=%20z HTTP/1.1\r\nHost: a\r\nX-Txn: q7\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\n"
+                    + "Idempotency-Key: k9\r\nContent-Length: 5\r\n\r\nh\u00e9llo");
+            StubServer.Message response = client.answer();
+            assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), response.body());
+            StubServer.Message sent = server.next();
+            assertTrue(sent.head().startsWith("POST /api/x?y=%20z HTTP/1.1\r\n"), sent.head());
+            assertEquals("q7", sent.header("X-Txn"));
+            assertEquals("k9", sent.header("Idempotency-Key"));
+            assertEquals("h\u00e9llo", sent.body());
+            int remainingMillis = Integer.parseInt(sent.header("X-Remaining-Ms"));
+            assertTrue(remainingMillis > 0 && remainingMillis <= 9000, "waits " + remainingMillis);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/upstream/IdleConnectionsTest.java
@@ -0,0 +1,91 @@
+package loadbalancer.proxy.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+class IdleConnectionsTest {
+    private static final long IDLE_TIMEOUT_MICROS = 1_000;
+    private static final long STALL_MICROS = 3_600_000_000L;
+
+    private final IdleConnections connections = new IdleConnections();
+
+    private UpstreamConnection add(long idleSinceMicros, long reusableAtMicros) {
+        UpstreamConnection connection = UpstreamConnection.install(new EmbeddedChannel(), STALL_MICROS);
+        connection.becomeIdle(idleSinceMicros, reusableAtMicros);
+        connections.add(connection);
+        return connection;
+    }
+
+    private UpstreamConnection take(long nowMicros) {
+        return connections.take(nowMicros, nowMicros, IDLE_TIMEOUT_MICROS);
+    }
+
+    @Test
+    void theMostRecentlyUsedConnectionIsTakenFirst() {
+        UpstreamConnection earlier = add(10, 0);
+        UpstreamConnection later = add(20, 0);
+        assertSame(later, take(30));
+        assertSame(earlier, take(30));
+        assertNull(take(30));
+    }
+
+    @Test
+    void aConnectionIsNotTakenBeforeWhatCameDuringItsReuseDelayWasRead() {
+        UpstreamConnection reusable = add(10, 15);
+        UpstreamConnection delayed = add(20, 40);
+        assertSame(reusable, connections.take(50, 39, IDLE_TIMEOUT_MICROS));
+        assertNull(connections.take(50, 39, IDLE_TIMEOUT_MICROS));
+        assertSame(delayed, connections.take(50, 40, IDLE_TIMEOUT_MICROS));
+    }
+
+    @Test
+    void connectionsIdleForTooLongAreClosedInsteadOfTaken() {
+        UpstreamConnection expired = add(10, 0);
+        assertNull(take(10 + IDLE_TIMEOUT_MICROS));
+        assertFalse(expired.channel().isOpen());
+        assertTrue(connections.isEmpty());
+    }
+
+    @Test
+    void aConnectionWithUnexpectedDataIsNotTaken() {
+        UpstreamConnection connection = add(10, 0);
+        ((EmbeddedChannel) connection.channel())
+                .writeInbound(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nConte", StandardCharsets.US_ASCII));
+        assertNull(take(20));
+        assertFalse(connection.channel().isOpen());
+    }
+
+    @Test
+    void theSweepClosesWhatIsUnusableAndKeepsTheRest() {
+        UpstreamConnection expired = add(10, 0);
+        UpstreamConnection lost = add(500, 0);
+        UpstreamConnection kept = add(600, 0);
+        lost.close();
+        connections.closeUnusable(10 + IDLE_TIMEOUT_MICROS, IDLE_TIMEOUT_MICROS);
+        assertFalse(expired.channel().isOpen());
+        assertSame(kept, take(700));
+        assertTrue(connections.isEmpty());
+    }
+
+    @Test
+    void theConnectionUsedLeastRecentlyIsTheOldest() {
+        UpstreamConnection oldest = add(10, 0);
+        UpstreamConnection newest = add(20, 0);
+        assertEquals(10, connections.oldestIdleSinceMicros());
+        connections.closeOldest();
+        assertFalse(oldest.channel().isOpen());
+        assertTrue(newest.channel().isOpen());
+        assertEquals(20, connections.oldestIdleSinceMicros());
+        connections.closeAll();
+        assertFalse(newest.channel().isOpen());
+        assertTrue(connections.isEmpty());
+    }
+}
