--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -67,7 +67,7 @@
     }
 
     /** Starts a call; none may be in flight. {@code address} holds where a connection has to be opened. */
-    void get(InetSocketAddress address, String target, long timeoutMillis) {
+    void fetch(InetSocketAddress address, String target, long timeoutMillis) {
         Call call = new Call(target);
         inFlight = call;
         call.timeout = loop.schedule(() -> fail(call, CallFailure.TIMEOUT, ""), timeoutMillis, TimeUnit.MILLISECONDS);
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -66,6 +66,7 @@
         client = new DiscoveryClient(loop, new CallListener());
     }
 
+    /** A backoff with random jitter for one watch. */
     public static ExponentialBackoff defaultBackoff() {
         return new ExponentialBackoff(INITIAL_BACKOFF_MICROS, MAX_BACKOFF_MICROS, bound -> ThreadLocalRandom.current()
                 .nextLong(bound));
@@ -116,7 +117,7 @@
             return;
         }
         callStartedMicros = clock.nowMicros();
-        client.get(address, cursor.nextRequestTarget(timeouts.waitMillis()), nextTimeoutMillis());
+        client.fetch(address, cursor.nextRequestTarget(timeouts.waitMillis()), nextTimeoutMillis());
     }
 
     private long nextTimeoutMillis() {
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
@@ -11,7 +11,9 @@
  * @param immediateMillis the timeout of any other call, before it is doubled
  */
 public record WatchTimeouts(long waitMillis, long silenceMillis, long immediateMillis) {
+    /** Those of a sidecar that serves. */
     public static final WatchTimeouts DEFAULT = new WatchTimeouts(2_000, 500, 250);
+
     private static final int MAX_DOUBLINGS = 2;
 
     long longPollTimeoutMillis() {
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -38,6 +38,7 @@
     /** Null until the transport listens; without a listener nothing is sent. */
     private Channel channel;
 
+    /** Sends and receives nothing until it listens; {@code allPeers} may be null. */
     public GossipTransport(
             MonotonicClock clock,
             LoadBalancerExecutor decisions,
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -89,10 +89,12 @@
         return endedMicros;
     }
 
+    /** Notes the end for the log; the outcome does not depend on it. */
     public void noteEnd(long timeMicros) {
         endedMicros = timeMicros;
     }
 
+    /** Whether the call has its outcome. */
     public boolean ended() {
         return outcome != null;
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -35,7 +35,7 @@
 
     private final EventLoop loop;
     private final MonotonicClock clock;
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final long reuseDelayMicros;
     private final UpstreamEndpoints endpoints = new UpstreamEndpoints();
     private final UpstreamConnector connector;
@@ -49,15 +49,15 @@
      * @param maxConnections how many connections may be open at the moment, read before each dial
      */
     public UpstreamConnectionPool(
-            ReadTrackingEventLoop reads,
+            ReadTrackingEventLoop eventLoop,
             UpstreamTimeouts timeouts,
             long reuseDelayMicros,
             IntSupplier maxConnections,
             TrafficStatistics statistics) {
-        this.reads = reads;
+        this.eventLoop = eventLoop;
         this.reuseDelayMicros = reuseDelayMicros;
-        loop = reads.eventLoop();
-        clock = reads.clock();
+        loop = eventLoop.eventLoop();
+        clock = eventLoop.clock();
         connector = new UpstreamConnector(loop, maxConnections, statistics);
         updateTimeouts(timeouts);
         loop.scheduleWithFixedDelay(
@@ -83,6 +83,7 @@
         return endpoints.size();
     }
 
+    /** Whether any call could be sent. */
     public boolean hasReadyEndpoint() {
         return endpoints.hasReady();
     }
@@ -92,6 +93,7 @@
         return connector.openConnections();
     }
 
+    /** Closes the idle connections to one endpoint; connections in use stay, and so do those that come up. */
     public void closeIdleConnections(String endpointId) {
         UpstreamEndpoint endpoint = endpoints.get(endpointId);
         if (endpoint != null) {
@@ -133,7 +135,7 @@
         long timeoutMicros = call.deadlineMicros() - now;
         call.start(now, endpoint, loop.schedule(call::timedOut, timeoutMicros, TimeUnit.MICROSECONDS));
         // What is read first may end the call, change its endpoint or close an idle connection.
-        reads.afterPendingReads(() -> assignConnection(call));
+        eventLoop.afterPendingReads(() -> assignConnection(call));
     }
 
     private void assignConnection(UpstreamCall call) {
@@ -141,7 +143,7 @@
             return;
         }
         UpstreamConnection idle =
-                call.target().idleConnections().take(clock.nowMicros(), reads.lastReadMicros(), idleTimeoutMicros);
+                call.target().idleConnections().take(clock.nowMicros(), eventLoop.lastReadMicros(), idleTimeoutMicros);
         if (idle == null) {
             connect(call);
         } else {
@@ -177,7 +179,7 @@
             } else if (!connected.isSuccess()) {
                 call.connectionLost();
             } else {
-                reads.afterPendingReads(() -> writeIfStillWanted(call, channel));
+                eventLoop.afterPendingReads(() -> writeIfStillWanted(call, channel));
             }
         });
     }
