--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -64,8 +64,8 @@
     private void runActions() {
         for (Runnable action; (action = actions.poll()) != null; ) {
             long startMicros = clock.nowMicros();
-            FaultBarrier.run("an action", action);
-            monitor.taskFinished("an action", startMicros);
+            FaultBarrier.run("action", action);
+            monitor.taskFinished("action", startMicros);
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -86,7 +86,7 @@
         postponements = 0;
         // Starts that these lead to are for the next time.
         for (int remaining = pendingStarts.size(); remaining > 0; remaining--) {
-            FaultBarrier.run("the start of an attempt", pendingStarts.poll());
+            FaultBarrier.run("attempt_start", pendingStarts.poll());
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
@@ -88,7 +88,7 @@
 
     private void healthCheckCompleted(UpstreamCall call, AttemptOutcome outcome, LoadReport report) {
         loadBalancer.submit(
-                "a health check",
+                "health_check",
                 module -> module.onHealthCheck(
                         clock.nowMicros(), call.endpoint(), outcome, clock.nowMicros() - call.sentMicros(), report),
                 () -> {});
@@ -113,7 +113,7 @@
     public void startTimer(String timerName, long delayMicros) {
         loop.schedule(
                 () -> loadBalancer.submit(
-                        "a timer",
+                        "timer",
                         module -> module.onTimer(clock.nowMicros(), timerName),
                         requests::failRequestsWithoutAttemptInFlight),
                 delayMicros,
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -62,7 +62,7 @@
         long nowMicros = clock.nowMicros();
         recordLag(nowMicros - previousRunMicros - INTERVAL_MILLIS * 1000);
         clients.closeStalledConnections();
-        monitor.taskFinished("closing stalled connections", nowMicros);
+        monitor.taskFinished("stalled_connection_sweep", nowMicros);
         if (++runs % RUNS_PER_TOTALS == 0) {
             logTotals();
         }
@@ -86,6 +86,6 @@
             SidecarLog.info(totals);
             monitor.resetBaseline();
         }
-        monitor.taskFinished("logging totals", startMicros);
+        monitor.taskFinished("totals", startMicros);
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -231,7 +231,7 @@
         LoadBalancerSettings settings = reloaded.settings();
         gossip.updatePeers(reloaded.gossipPeers(), reloaded.gossipBroadcastAddress());
         // The load balancer first: it must know a new class before a request of that class is accepted.
-        loadBalancer.submit("new settings", module -> module.onSettings(clock.nowMicros(), settings), () -> {});
+        loadBalancer.submit("settings", module -> module.onSettings(clock.nowMicros(), settings), () -> {});
         requests.updateMaxAttempts(settings.limits().maxAttempts());
         upstreams.updateTimeouts(upstreamTimeouts(settings));
         clients.updateRequestClasses(settings.requestClasses());
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/configuration/SidecarConfigurationReaderTest.java
@@ -0,0 +1,89 @@
+package loadbalancer.proxy.configuration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import loadbalancer.proxy.testing.SidecarFixture;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+class SidecarConfigurationReaderTest {
+    private static final String REQUIRED_FIELDS = "\"listen\":\"127.0.0.1:80\",\"discovery\":\"127.0.0.1:81\","
+            + "\"seed\":\"ff\",\"known\":" + SidecarFixture.list(1, true) + ",\"settings\":" + SidecarFixture.SETTINGS;
+
+    @TempDir
+    Path folder;
+
+    private Map<String, String> environment(String fields) throws Exception {
+        Path file = folder.resolve("config.json");
+        Files.writeString(file, "{" + fields + "}");
+        return new HashMap<>(Map.of("BALANCER_CONFIG", file.toString()));
+    }
+
+    private static InetSocketAddress address(int port) {
+        return new InetSocketAddress("127.0.0.1", port);
+    }
+
+    @Test
+    void optionalFieldsHaveDefaults() throws Exception {
+        SidecarConfiguration configuration = SidecarConfigurationReader.read(environment(REQUIRED_FIELDS));
+        assertEquals("sidecar", configuration.name());
+        assertEquals(address(80), configuration.listenAddress());
+        assertEquals(address(81), configuration.discoveryAddress());
+        assertEquals(255, configuration.seed());
+        assertEquals(1024, configuration.descriptorLimit());
+        assertEquals(null, configuration.gossipListenAddress());
+        assertEquals(List.of(), configuration.gossipPeers());
+        assertEquals(null, configuration.gossipBroadcastAddress());
+    }
+
+    @Test
+    void allFieldsAreRead() throws Exception {
+        SidecarConfiguration configuration = SidecarConfigurationReader.read(environment(REQUIRED_FIELDS
+                + ",\"name\":\"n3\",\"limits\":{\"sockets\":256},\"peer_listen\":\"127.0.0.1:82\","
+                + "\"peers\":[\"127.0.0.1:83\",\"127.0.0.1:84\"],\"peers_all\":\"127.0.0.1:85\""));
+        assertEquals("n3", configuration.name());
+        assertEquals(256, configuration.descriptorLimit());
+        assertEquals(address(82), configuration.gossipListenAddress());
+        assertEquals(List.of(address(83), address(84)), configuration.gossipPeers());
+        assertEquals(address(85), configuration.gossipBroadcastAddress());
+    }
+
+    @Test
+    void theEnvironmentOverridesTheFile() throws Exception {
+        Map<String, String> environment = environment(REQUIRED_FIELDS + ",\"name\":\"n3\"");
+        environment.put("BALANCER_NAME", "n4");
+        environment.put("BALANCER_LISTEN", "127.0.0.1:90");
+        environment.put("BALANCER_DISCOVERY", "127.0.0.1:91");
+        SidecarConfiguration configuration = SidecarConfigurationReader.read(environment);
+        assertEquals("n4", configuration.name());
+        assertEquals(address(90), configuration.listenAddress());
+        assertEquals(address(91), configuration.discoveryAddress());
+    }
+
+    /** The variable is that of the start, the file may be newer. */
+    @Test
+    void aReloadTakesTheDiscoveryAddressFromTheFile() throws Exception {
+        Map<String, String> environment = environment(REQUIRED_FIELDS);
+        environment.put("BALANCER_DISCOVERY", "127.0.0.1:91");
+        SidecarConfiguration started = SidecarConfigurationReader.read(environment);
+        SidecarConfiguration reloaded = SidecarConfigurationReader.reload(environment, started.settings());
+        assertEquals(address(81), reloaded.discoveryAddress());
+    }
+
+    @Test
+    void anAddressThatIsNoneIsReportedByItsSource() throws Exception {
+        Map<String, String> environment = environment(REQUIRED_FIELDS);
+        environment.put("BALANCER_LISTEN", "localhost");
+        ConfigurationException e =
+                assertThrows(ConfigurationException.class, () -> SidecarConfigurationReader.read(environment));
+        assertTrue(e.getMessage().contains("'BALANCER_LISTEN' is no address: 'localhost'"), e.getMessage());
+    }
+}
--- a/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
@@ -75,4 +75,10 @@
             System.setErr(originalErr);
         }
     }
+
+    @Test
+    void aQuotedValueIsOneWordOfOneLine() {
+        assertEquals("\"a 'b' c d\"", SidecarLog.quote("a \"b\" c\nd"));
+        assertEquals("\"null\"", SidecarLog.quote(null));
+    }
 }
