--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -13,6 +13,7 @@
 public final class Main {
     private Main() {}
 
+    /** Runs the command that the first argument names; exits with 2 where there is none. */
     public static void main(String[] args) throws Exception {
         if (args.length == 1 && args[0].equals("simulator")) {
             System.exit(new SimulatorHost(System.in, System.out, System.err).run());
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -49,6 +49,12 @@
     /** Due when the first pending response is overdue, or earlier; null where no response is pending. */
     private Future<?> deadlineCheck;
 
+    /**
+     * Creates a dispatcher without requests.
+     *
+     * @param loop owns this object; all of its methods are called there
+     * @param maxAttempts attempts of one request, at most; see {@link #updateMaxAttempts}
+     */
     public RequestDispatcher(
             EventLoop loop,
             MonotonicClock clock,
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -47,6 +47,13 @@
     private boolean stopped;
     private long callStartedMicros;
 
+    /**
+     * Creates a watch that is idle until {@link #start} or {@link #poll}.
+     *
+     * @param loop owns this object; all of its methods are called there
+     * @param listener gets each list before the decision module does
+     * @param backoff pauses after failed calls
+     */
     public DiscoveryWatch(
             EventLoop loop,
             MonotonicClock clock,
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -46,6 +46,7 @@
 
     private long recentLagMicros;
 
+    /** Starts the one thread of the loop; {@link #shutDown} ends it. */
     public ReadTrackingEventLoop(MonotonicClock clock) {
         this.clock = clock;
         group = new MultiThreadIoEventLoopGroup(1, trackingFactory(NioIoHandler.newFactory()));
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -51,6 +51,7 @@
 
     private InetSocketAddress listenAddress;
 
+    /** Builds a sidecar with an event loop of its own and the usual timeouts; nothing is opened yet. */
     public Sidecar(SidecarConfiguration configuration, LoadBalancerFactory loadBalancerFactory) {
         this(
                 configuration,
