--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -16,7 +16,7 @@
 
     private static final long NEVER = 0;
 
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private Channel listener;
     private int acceptedInRead;
     /** Since when connections may be waiting; {@link #NEVER} where none are. */
@@ -24,8 +24,8 @@
     /** Since when the waiting connections are being accepted; {@link #NEVER} while accepting is paused. */
     private long resumedMicros = NEVER;
 
-    AcceptBacklog(ReadTrackingEventLoop reads) {
-        this.reads = reads;
+    AcceptBacklog(ReadTrackingEventLoop eventLoop) {
+        this.eventLoop = eventLoop;
     }
 
     @Override
@@ -43,11 +43,11 @@
         if (!changes) {
             return;
         }
-        long nowMicros = reads.clock().nowMicros();
+        long nowMicros = eventLoop.clock().nowMicros();
         if (accepting) {
             resumedMicros = nowMicros;
             // Wakes the loop for a read of all sockets, after which it is known whether any connection waited.
-            reads.eventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
+            eventLoop.eventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
         } else {
             pausedMicros = mayHoldConnections() ? pausedMicros : nowMicros;
             resumedMicros = NEVER;
@@ -56,11 +56,11 @@
 
     /** How long a connection that is accepted now has waited at most, in microseconds. */
     long maxWaitMicros() {
-        return mayHoldConnections() ? reads.clock().nowMicros() - pausedMicros : 0;
+        return mayHoldConnections() ? eventLoop.clock().nowMicros() - pausedMicros : 0;
     }
 
     private boolean mayHoldConnections() {
-        boolean readSinceResumed = resumedMicros != NEVER && reads.lastReadMicros() > resumedMicros;
+        boolean readSinceResumed = resumedMicros != NEVER && eventLoop.lastReadMicros() > resumedMicros;
         if (readSinceResumed) {
             // A read of all sockets since then has accepted whatever waited.
             pausedMicros = NEVER;
@@ -78,7 +78,7 @@
     public void channelReadComplete(ChannelHandlerContext context) {
         boolean moreMayWait = acceptedInRead >= MAX_ACCEPTS_PER_READ;
         if (moreMayWait && resumedMicros != NEVER) {
-            resumedMicros = reads.clock().nowMicros();
+            resumedMicros = eventLoop.clock().nowMicros();
         }
         acceptedInRead = 0;
         context.fireChannelReadComplete();
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -42,7 +42,7 @@
     }
 
     private final Channel channel;
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final MonotonicClock clock;
     private final RequestDispatcher dispatcher;
     private final RequestExchangeFactory exchangeFactory;
@@ -60,14 +60,14 @@
     /** {@code backlogWaitMicros} is how long the connection waited, at most, to be accepted. */
     ClientConnection(
             Channel channel,
-            ReadTrackingEventLoop reads,
+            ReadTrackingEventLoop eventLoop,
             RequestDispatcher dispatcher,
             RequestExchangeFactory exchangeFactory,
             ClientServer server,
             long backlogWaitMicros) {
         this.channel = channel;
-        this.reads = reads;
-        clock = reads.clock();
+        this.eventLoop = eventLoop;
+        clock = eventLoop.clock();
         this.dispatcher = dispatcher;
         this.exchangeFactory = exchangeFactory;
         this.server = server;
@@ -105,7 +105,7 @@
             return;
         }
         // A late event loop reads bytes later than they came.
-        long sentMicros = activity.lastActivityMicros() - reads.lateMicros();
+        long sentMicros = activity.lastActivityMicros() - eventLoop.lateMicros();
         pipelinedRequests.add(new ReceivedRequest(request, sentMicros, activity.requestBacklogWaitMicros()));
         activity.requestReceived();
         handlePipelinedRequests();
--- a/src/main/java/loadbalancer/proxy/client/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientListener.java
@@ -19,17 +19,17 @@
     /** Enough to read all that a client pipelines, and the end of the connection behind it, in one iteration. */
     private static final int MAX_READS_PER_ITERATION = 64;
 
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final AcceptBacklog backlog;
     private final Consumer<Channel> onAccepted;
     private Channel channel;
     private long lastAcceptedMicros;
 
     /** {@code onAccepted} sets up the pipeline of an accepted connection, on the event loop. */
-    ClientListener(ReadTrackingEventLoop reads, Consumer<Channel> onAccepted) {
-        this.reads = reads;
+    ClientListener(ReadTrackingEventLoop eventLoop, Consumer<Channel> onAccepted) {
+        this.eventLoop = eventLoop;
         this.onAccepted = onAccepted;
-        backlog = new AcceptBacklog(reads);
+        backlog = new AcceptBacklog(eventLoop);
     }
 
     /**
@@ -37,7 +37,7 @@
      */
     InetSocketAddress bind(InetSocketAddress address) throws InterruptedException {
         channel = new ServerBootstrap()
-                .group(reads.eventLoop())
+                .group(eventLoop.eventLoop())
                 .channelFactory(NioServerSocketChannel::new)
                 .handler(backlog)
                 .option(ChannelOption.SO_BACKLOG, SYSTEM_BACKLOG)
@@ -52,7 +52,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel accepted) {
-                        lastAcceptedMicros = reads.clock().nowMicros();
+                        lastAcceptedMicros = eventLoop.clock().nowMicros();
                         onAccepted.accept(accepted);
                     }
                 })
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -15,7 +15,7 @@
  * {@link #holdReadinessForWarmUp}, which run before the server has clients, methods are called on the event loop.
  */
 public final class ClientServer {
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final MonotonicClock clock;
     private final RequestDispatcher dispatcher;
     private final RequestClasses requestClasses;
@@ -33,24 +33,24 @@
      * {@code canServe} says whether there are endpoints to forward requests to; without any, the server is not ready.
      */
     public ClientServer(
-            ReadTrackingEventLoop reads,
+            ReadTrackingEventLoop eventLoop,
             RequestDispatcher dispatcher,
             List<RequestClass> requestClasses,
             BooleanSupplier canServe,
             ConnectionLimits limits,
             TrafficStatistics statistics) {
-        this.reads = reads;
-        clock = reads.clock();
+        this.eventLoop = eventLoop;
+        clock = eventLoop.clock();
         this.dispatcher = dispatcher;
         this.requestClasses = new RequestClasses(requestClasses);
         this.canServe = canServe;
         this.limits = limits;
         this.statistics = statistics;
         connections = new ClientConnections(limits);
-        listener = new ClientListener(reads, this::connectionAccepted);
-        shutdown = new GracefulShutdown(reads, listener, connections, this.requestClasses);
+        listener = new ClientListener(eventLoop, this::connectionAccepted);
+        shutdown = new GracefulShutdown(eventLoop, listener, connections, this.requestClasses);
         exchangeFactory =
-                new RequestExchangeFactory(reads, new RequestParser(this.requestClasses), dispatcher, shutdown);
+                new RequestExchangeFactory(eventLoop, new RequestParser(this.requestClasses), dispatcher, shutdown);
     }
 
     /** Replaces the request classes. Requests that are already dispatched keep their class and deadline. */
@@ -108,7 +108,7 @@
     private void connectionAccepted(Channel channel) {
         dispatcher.failOverdueRequests();
         ClientConnection connection = new ClientConnection(
-                channel, reads, dispatcher, exchangeFactory, this, listener.maxBacklogWaitMicros());
+                channel, eventLoop, dispatcher, exchangeFactory, this, listener.maxBacklogWaitMicros());
         connections.add(connection);
         statistics.clientConnectionAccepted();
         connections.evictIdleConnectionIfFull(clock.nowMicros());
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -35,7 +35,7 @@
         COMPLETED
     }
 
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final ClientListener listener;
     private final ClientConnections connections;
     private final RequestClasses requestClasses;
@@ -44,11 +44,11 @@
     private long latestResponseMicros = Long.MAX_VALUE;
 
     GracefulShutdown(
-            ReadTrackingEventLoop reads,
+            ReadTrackingEventLoop eventLoop,
             ClientListener listener,
             ClientConnections connections,
             RequestClasses requestClasses) {
-        this.reads = reads;
+        this.eventLoop = eventLoop;
         this.listener = listener;
         this.connections = connections;
         this.requestClasses = requestClasses;
@@ -65,7 +65,7 @@
 
     /** Starts the shutdown; {@code onCompleted} runs once the listener and all connections are closed. */
     void start(Runnable onCompleted) {
-        long nowMicros = reads.clock().nowMicros();
+        long nowMicros = eventLoop.clock().nowMicros();
         phase = Phase.SERVING;
         servingUntilMicros = nowMicros + SERVING_MICROS;
         latestResponseMicros = nowMicros
@@ -82,13 +82,14 @@
             SidecarLog.info("shutdown_completed client_connections=0");
             onCompleted.run();
         } else {
-            reads.eventLoop()
+            eventLoop
+                    .eventLoop()
                     .schedule(() -> checkRepeatedly(onCompleted), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void check() {
-        long nowMicros = reads.clock().nowMicros();
+        long nowMicros = eventLoop.clock().nowMicros();
         if (nowMicros < servingUntilMicros) {
             return;
         }
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -17,18 +17,18 @@
     /** A wait in the backlog is an upper bound: at most half of the remaining time is deducted for it. */
     private static final int MAX_BACKLOG_WAIT_DIVISOR = 2;
 
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final RequestParser parser;
     private final RequestDispatcher dispatcher;
     private final GracefulShutdown shutdown;
 
     /** No deadline is later than the latest response of {@code shutdown}. */
     RequestExchangeFactory(
-            ReadTrackingEventLoop reads,
+            ReadTrackingEventLoop eventLoop,
             RequestParser parser,
             RequestDispatcher dispatcher,
             GracefulShutdown shutdown) {
-        this.reads = reads;
+        this.eventLoop = eventLoop;
         this.parser = parser;
         this.dispatcher = dispatcher;
         this.shutdown = shutdown;
@@ -40,14 +40,14 @@
             throw new InvalidRequestException("the request id is in use");
         }
         long deadlineMicros = deadlineMicros(received, parsed.remainingMicros());
-        long untilDeadlineMicros = deadlineMicros - reads.clock().nowMicros();
+        long untilDeadlineMicros = deadlineMicros - eventLoop.clock().nowMicros();
         return new RequestExchange(
                 parsed.toRequest(untilDeadlineMicros), parsed.payload(), deadlineMicros, responseHandler);
     }
 
     private long deadlineMicros(ReceivedRequest received, long remainingMicros) {
         long marginMicros = Math.min(
-                Math.max(MIN_RESPONSE_MARGIN_MICROS, reads.recentLagMicros()),
+                Math.max(MIN_RESPONSE_MARGIN_MICROS, eventLoop.recentLagMicros()),
                 remainingMicros / MAX_RESPONSE_MARGIN_DIVISOR);
         long backlogWaitMicros = Math.min(received.backlogWaitMicros(), remainingMicros / MAX_BACKLOG_WAIT_DIVISOR);
         long sentMicros = received.sentMicros() - backlogWaitMicros;
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -34,8 +34,8 @@
 @Timeout(60)
 class RequestDispatcherTest {
     private final MonotonicClock clock = new MonotonicClock();
-    private final ReadTrackingEventLoop reads = new ReadTrackingEventLoop(clock);
-    private final EventLoop loop = reads.eventLoop();
+    private final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(clock);
+    private final EventLoop loop = eventLoop.eventLoop();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private RequestDispatcher dispatcher;
     private UpstreamConnectionPool upstreams;
@@ -46,7 +46,7 @@
                     LoadBalancerExecutor loadBalancer = new LoadBalancerExecutor(clock, new EventLoopMonitor(clock));
                     loadBalancer.start(actions -> recordingLoadBalancer(), null);
                     upstreams = new UpstreamConnectionPool(
-                            reads,
+                            eventLoop,
                             new UpstreamTimeouts(15_000_000, 2_000_000, 20_000),
                             0,
                             () -> 100,
@@ -59,7 +59,7 @@
 
     @AfterEach
     void end() {
-        reads.shutDown();
+        eventLoop.shutDown();
     }
 
     /** Does nothing, and records each of its calls: the name of the method and the result of an attempt. */
