--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -1,5 +1,6 @@
 package loadbalancer;
 
+import java.io.IOException;
 import java.util.Arrays;
 import loadbalancer.proxy.lifecycle.SidecarProcess;
 import loadbalancer.simulation.FleetCostCommand;
@@ -7,24 +8,38 @@
 import picocli.CommandLine;
 
 /**
- * Command line: {@code serve} runs a sidecar, {@code simulator} hosts many instances on the simulator's wire,
- * {@code fleet-cost} measures what fleets cost.
+ * The command line. {@code serve} runs a sidecar, {@code simulator} hosts decision modules on the simulator's wire,
+ * {@code fleet-cost} measures what fleets cost. Each command sets the exit status; 2 stands for a wrong command line.
  */
 public final class Main {
+    private static final String SERVE = "serve";
+    private static final String SIMULATOR = "simulator";
+    private static final String FLEET_COST = "fleet-cost";
+    private static final int EXIT_USAGE = 2;
+
     private Main() {}
 
-    public static void main(String[] args) throws Exception {
-        if (args.length == 1 && args[0].equals("simulator")) {
+    /**
+     * Runs the command that the first argument names and ends the process.
+     *
+     * @throws IOException if the simulator's streams fail
+     * @throws InterruptedException if the main thread is interrupted while the sidecar serves
+     */
+    public static void main(String[] arguments) throws IOException, InterruptedException {
+        String command = arguments.length == 0 ? "" : arguments[0];
+        boolean withoutOptions = arguments.length == 1;
+        if (command.equals(SIMULATOR) && withoutOptions) {
             System.exit(new SimulatorHost(System.in, System.out, System.err).run());
         }
-        if (args.length == 1 && args[0].equals("serve")) {
-            // Not by exit, which would wait for a good end of what never began.
+        if (command.equals(SERVE) && withoutOptions) {
+            // System.exit would run the shutdown hook, which waits for a sidecar that has not started.
             Runtime.getRuntime().halt(SidecarProcess.serve(System.getenv()));
         }
-        if (args.length > 0 && args[0].equals("fleet-cost")) {
-            System.exit(new CommandLine(new FleetCostCommand()).execute(Arrays.copyOfRange(args, 1, args.length)));
+        if (command.equals(FLEET_COST)) {
+            String[] options = Arrays.copyOfRange(arguments, 1, arguments.length);
+            System.exit(new CommandLine(new FleetCostCommand()).execute(options));
         }
         System.err.println("usage: java -jar load-balancer-sidecar.jar serve|simulator|fleet-cost");
-        System.exit(2);
+        System.exit(EXIT_USAGE);
     }
 }
