--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -9,7 +9,7 @@
  * @param tenant null where the request names none
  * @param routingKey a number of 53 bits, or {@link #NO_ROUTING_KEY}
  * @param costHintMicros 0 where the request has none
- * @param remainingMicros how long the client waits for the response, at most the deadline of the class
+ * @param remainingMicros the time-out of the client for the response, at most the deadline of the class
  */
 record ParsedRequest(
         String id,
@@ -22,7 +22,7 @@
         RequestPayload payload) {
     static final long NO_ROUTING_KEY = -1;
 
-    /** What the load balancer is given: {@code untilDeadlineMicros} is the time left to respond, 1 at least. */
+    /** What the load balancer decides on: {@code untilDeadlineMicros} is the time in which to respond, 1 at least. */
     Request toRequest(long untilDeadlineMicros) {
         return new Request(
                 id,
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -187,16 +187,14 @@
         if (sendable) {
             upstreams.startCall(attempt);
         } else {
-            attempt.sentAt(clock.nowMicros());
-            attempt.end(AttemptOutcome.NOT_SENT, null, null);
+            attempt.endUnsent(clock.nowMicros());
         }
     }
 
     private UpstreamCall createAttempt(RequestExchange exchange, int number, String endpointId, long giveUpMicros) {
-        return new UpstreamCall(
+        return UpstreamCall.attempt(
                 endpointId,
                 giveUpMicros,
-                false,
                 remainingMicros -> exchange.payload().toHttpRequest(exchange.requestId(), remainingMicros),
                 (call, outcome, report, body) -> {
                     attemptEnded(exchange, call, outcome, body);
@@ -206,7 +204,7 @@
 
     /** {@code body} belongs to the caller and is set with {@link AttemptOutcome#OK} alone. */
     private void attemptEnded(RequestExchange exchange, UpstreamCall attempt, AttemptOutcome outcome, ByteBuf body) {
-        attempt.endedAt(clock.nowMicros());
+        attempt.noteEnd(clock.nowMicros());
         statistics.attemptCompleted(outcome);
         if (outcome == AttemptOutcome.OK && !exchange.isCompleted()) {
             statistics.requestServed(exchange.request().requestClass());
@@ -226,9 +224,9 @@
                         new AttemptResult(
                                 exchange.requestId(),
                                 number,
-                                attempt.upstream(),
+                                attempt.endpoint(),
                                 attempt.outcome(),
-                                nowMicros - attempt.sentUs(),
+                                nowMicros - attempt.sentMicros(),
                                 exchange.isCompleted(),
                                 report)),
                 () -> failUnlessInFlight(exchange));
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -1,6 +1,5 @@
 package loadbalancer.proxy.client;
 
-import java.util.function.LongSupplier;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
@@ -15,24 +14,24 @@
     private static final long MIN_RESPONSE_MARGIN_MICROS = 15_000;
 
     private static final int MAX_RESPONSE_MARGIN_DIVISOR = 4;
-    /** A wait in the backlog is an upper bound: at most half of the client's time is taken for spent there. */
+    /** A wait in the backlog is an upper bound: at most half of the remaining time is deducted for it. */
     private static final int MAX_BACKLOG_WAIT_DIVISOR = 2;
 
     private final ReadTrackingEventLoop reads;
     private final RequestParser parser;
     private final RequestDispatcher dispatcher;
-    private final LongSupplier latestResponseMicros;
+    private final GracefulShutdown shutdown;
 
-    /** No deadline is later than {@code latestResponseMicros} at the time when the request is parsed. */
+    /** No deadline is later than the latest response of {@code shutdown}. */
     RequestExchangeFactory(
             ReadTrackingEventLoop reads,
             RequestParser parser,
             RequestDispatcher dispatcher,
-            LongSupplier latestResponseMicros) {
+            GracefulShutdown shutdown) {
         this.reads = reads;
         this.parser = parser;
         this.dispatcher = dispatcher;
-        this.latestResponseMicros = latestResponseMicros;
+        this.shutdown = shutdown;
     }
 
     RequestExchange create(ReceivedRequest received, ResponseHandler responseHandler) throws InvalidRequestException {
@@ -52,6 +51,6 @@
                 remainingMicros / MAX_RESPONSE_MARGIN_DIVISOR);
         long backlogWaitMicros = Math.min(received.backlogWaitMicros(), remainingMicros / MAX_BACKLOG_WAIT_DIVISOR);
         long sentMicros = received.sentMicros() - backlogWaitMicros;
-        return Math.min(latestResponseMicros.getAsLong(), sentMicros + remainingMicros - marginMicros);
+        return Math.min(shutdown.latestResponseMicros(), sentMicros + remainingMicros - marginMicros);
     }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -7,16 +7,16 @@
 import loadbalancer.decision.LoadBalancerActions;
 
 /**
- * The module and the one way in and out of it. What the module does during a call is kept until the call has returned:
- * no action re-enters it. An exception, the module's or a handler's, is logged and ends neither the program nor what
- * waits behind it.
+ * Holds the load balancer and makes all calls to it, one after the other. Its actions are deferred until the call has
+ * returned, and calls that actions lead to until all actions are done: no call ever re-enters the load balancer. A
+ * failure of a call or an action is logged and affects nothing behind it. Used on the event loop only.
  */
 public final class LoadBalancerExecutor {
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
     private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
-    private LoadBalancer module;
     private final MonotonicClock clock;
     private final EventLoopMonitor monitor;
+    private LoadBalancer loadBalancer;
     private boolean running;
 
     public LoadBalancerExecutor(MonotonicClock clock, EventLoopMonitor monitor) {
@@ -24,93 +24,48 @@
         this.monitor = monitor;
     }
 
-    /** {@code build} makes the module, which may act from its constructor on. */
-    public void start(Function<LoadBalancerActions, LoadBalancer> build, LoadBalancerActions executor) {
-        calls.add(() -> module = build.apply(later(executor)));
-        run();
+    /** Creates the load balancer, which may act from its constructor on; {@code executor} carries its actions out. */
+    public void start(Function<LoadBalancerActions, LoadBalancer> factory, LoadBalancerActions executor) {
+        calls.add(() -> loadBalancer = factory.apply(new DeferredActions(actions, executor)));
+        runPending();
     }
 
-    /** {@code event} names the call in the log; {@code broken} runs where the module could not take it. */
-    public void submit(String event, Consumer<LoadBalancer> call, Runnable broken) {
+    /**
+     * Makes a call, at once unless one is being made.
+     *
+     * @param callName names the call in the log
+     * @param onFailure runs in place of the load balancer's actions where the call failed
+     */
+    public void submit(String callName, Consumer<LoadBalancer> call, Runnable onFailure) {
         calls.add(() -> {
-            long begunUs = clock.nowMicros();
-            if (!FaultBarrier.run("the module", () -> call.accept(module))) {
-                actions.add(broken);
+            long startMicros = clock.nowMicros();
+            if (!FaultBarrier.run(callName, () -> call.accept(loadBalancer))) {
+                actions.add(onFailure);
             }
-            monitor.taskFinished(event, begunUs);
+            monitor.taskFinished(callName, startMicros);
         });
         if (!running) {
-            run();
+            runPending();
         }
     }
 
-    private void run() {
+    private void runPending() {
         running = true;
         try {
             for (Runnable call; (call = calls.poll()) != null; ) {
                 call.run();
-                for (Runnable action; (action = actions.poll()) != null; ) {
-                    long begunUs = clock.nowMicros();
-                    FaultBarrier.run("an action", action);
-                    monitor.taskFinished("carrying out a decision", begunUs);
-                }
+                runActions();
             }
         } finally {
             running = false;
         }
     }
 
-    private LoadBalancerActions later(LoadBalancerActions executor) {
-        return new LoadBalancerActions() {
-            @Override
-            public void sendAttempt(String request, String upstream, long untilUs) {
-                actions.add(() -> executor.sendAttempt(request, upstream, untilUs));
-            }
-
-            @Override
-            public void reject(String request, long retryAfterUs) {
-                actions.add(() -> executor.reject(request, retryAfterUs));
-            }
-
-            @Override
-            public void fail(String request) {
-                actions.add(() -> executor.fail(request));
-            }
-
-            @Override
-            public void cancelAttempt(String request, int attempt) {
-                actions.add(() -> executor.cancelAttempt(request, attempt));
-            }
-
-            @Override
-            public void checkHealth(String upstream) {
-                actions.add(() -> executor.checkHealth(upstream));
-            }
-
-            @Override
-            public void pollEndpoints() {
-                actions.add(executor::pollEndpoints);
-            }
-
-            @Override
-            public void sendGossip(int peer, byte[] message) {
-                actions.add(() -> executor.sendGossip(peer, message));
-            }
-
-            @Override
-            public void closeIdleConnections(String upstream) {
-                actions.add(() -> executor.closeIdleConnections(upstream));
-            }
-
-            @Override
-            public void startTimer(String mark, long delayUs) {
-                actions.add(() -> executor.startTimer(mark, delayUs));
-            }
-
-            @Override
-            public void log(String text) {
-                actions.add(() -> executor.log(text));
-            }
-        };
+    private void runActions() {
+        for (Runnable action; (action = actions.poll()) != null; ) {
+            long startMicros = clock.nowMicros();
+            FaultBarrier.run("action", action);
+            monitor.taskFinished("action", startMicros);
+        }
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
@@ -75,10 +75,9 @@
 
     @Override
     public void checkHealth(String endpointId) {
-        upstreams.startCall(new UpstreamCall(
+        upstreams.startCall(UpstreamCall.healthCheck(
                 endpointId,
                 clock.nowMicros() + HEALTH_CHECK_TIMEOUT_MICROS,
-                true,
                 remainingMicros -> loadReportRequest(),
                 (call, outcome, report, body) -> healthCheckCompleted(call, outcome, report)));
     }
@@ -89,9 +88,9 @@
 
     private void healthCheckCompleted(UpstreamCall call, AttemptOutcome outcome, LoadReport report) {
         loadBalancer.submit(
-                "a health check",
+                "health_check",
                 module -> module.onHealthCheck(
-                        clock.nowMicros(), call.upstream(), outcome, clock.nowMicros() - call.sentUs(), report),
+                        clock.nowMicros(), call.endpoint(), outcome, clock.nowMicros() - call.sentMicros(), report),
                 () -> {});
     }
 
@@ -114,7 +113,7 @@
     public void startTimer(String timerName, long delayMicros) {
         loop.schedule(
                 () -> loadBalancer.submit(
-                        "a timer",
+                        "timer",
                         module -> module.onTimer(clock.nowMicros(), timerName),
                         requests::failRequestsWithoutAttemptInFlight),
                 delayMicros,
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -62,7 +62,7 @@
         long nowMicros = clock.nowMicros();
         recordLag(nowMicros - previousRunMicros - INTERVAL_MILLIS * 1000);
         clients.closeStalledConnections();
-        monitor.taskFinished("closing stalled connections", nowMicros);
+        monitor.taskFinished("stalled_connection_sweep", nowMicros);
         if (++runs % RUNS_PER_TOTALS == 0) {
             logTotals();
         }
@@ -71,8 +71,8 @@
 
     private void recordLag(long lagMicros) {
         statistics.eventLoopLag(lagMicros);
-        eventLoop.recordTick(lagMicros);
-        String lateLine = monitor.tick(lagMicros);
+        eventLoop.recordLag(lagMicros);
+        String lateLine = monitor.checkLag(lagMicros);
         if (lateLine != null) {
             SidecarLog.info(lateLine);
         }
@@ -80,12 +80,12 @@
 
     private void logTotals() {
         long startMicros = clock.nowMicros();
-        String totals =
-                statistics.summary(requests.openRequests(), clients.openConnections(), upstreams.openConnections());
+        String totals = statistics.summarizeAndReset(
+                requests.openRequests(), clients.openConnections(), upstreams.openConnections());
         if (totals != null) {
             SidecarLog.info(totals);
             monitor.resetBaseline();
         }
-        monitor.taskFinished("logging totals", startMicros);
+        monitor.taskFinished("totals", startMicros);
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -6,6 +6,7 @@
 import loadbalancer.decision.LoadBalancer;
 import loadbalancer.decision.LoadBalancerActions;
 import loadbalancer.proxy.client.ClientServer;
+import loadbalancer.proxy.client.ConnectionLimits;
 import loadbalancer.proxy.client.RequestDispatcher;
 import loadbalancer.proxy.configuration.SidecarConfiguration;
 import loadbalancer.proxy.discovery.DiscoveryMode;
@@ -20,6 +21,7 @@
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.observability.TrafficStatistics;
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
+import loadbalancer.proxy.upstream.UpstreamTimeouts;
 import loadbalancer.settings.LoadBalancerSettings;
 import loadbalancer.settings.RequestClass;
 
@@ -84,13 +86,10 @@
     }
 
     private UpstreamConnectionPool newUpstreamPool() {
-        LoadBalancerSettings settings = settings();
         return new UpstreamConnectionPool(
                 eventLoop,
-                settings.limits().connectionIdleTimeoutMicros(),
-                UpstreamConnectionPool.REST_US,
-                settings.limits().connectTimeoutMicros(),
-                stallTimeoutMicros(settings),
+                upstreamTimeouts(settings()),
+                UpstreamConnectionPool.REUSE_DELAY_MICROS,
                 () -> descriptors.maxConnections() - openClientConnections(),
                 statistics);
     }
@@ -115,9 +114,10 @@
                 requests,
                 settings().requestClasses(),
                 () -> discovery.hasSynced() && upstreams.hasReadyEndpoint(),
-                descriptors.maxClientConnections(),
-                this::hasDescriptorForClient,
-                descriptors.maxIdleClientConnections(),
+                new ConnectionLimits(
+                        descriptors.maxClientConnections(),
+                        descriptors.maxIdleClientConnections(),
+                        this::hasDescriptorForClient),
                 statistics);
     }
 
@@ -132,6 +132,13 @@
                 || upstreams.closeOldestIdleConnection();
     }
 
+    private static UpstreamTimeouts upstreamTimeouts(LoadBalancerSettings settings) {
+        return new UpstreamTimeouts(
+                settings.limits().connectionIdleTimeoutMicros(),
+                settings.limits().connectTimeoutMicros(),
+                stallTimeoutMicros(settings));
+    }
+
     /** A quarter of the shortest latency objective: enough of it is left for another attempt. */
     private static long stallTimeoutMicros(LoadBalancerSettings settings) {
         long shortestObjectiveMicros = settings.requestClasses().stream()
@@ -215,7 +222,7 @@
                     || !reloaded.gossipPeers().equals(configuration.gossipPeers())) {
                 configuration = reloaded;
                 applySettings(reloaded);
-                SidecarLog.info("new settings are in force: " + reloaded.describeLimits());
+                SidecarLog.info("configuration_applied " + reloaded.describeLimits());
             }
         });
     }
@@ -224,12 +231,9 @@
         LoadBalancerSettings settings = reloaded.settings();
         gossip.updatePeers(reloaded.gossipPeers(), reloaded.gossipBroadcastAddress());
         // The load balancer first: it must know a new class before a request of that class is accepted.
-        loadBalancer.submit("new settings", module -> module.onSettings(clock.nowMicros(), settings), () -> {});
+        loadBalancer.submit("settings", module -> module.onSettings(clock.nowMicros(), settings), () -> {});
         requests.updateMaxAttempts(settings.limits().maxAttempts());
-        upstreams.updateTimeouts(
-                settings.limits().connectionIdleTimeoutMicros(),
-                settings.limits().connectTimeoutMicros(),
-                stallTimeoutMicros(settings));
+        upstreams.updateTimeouts(upstreamTimeouts(settings));
         clients.updateRequestClasses(settings.requestClasses());
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -2,6 +2,8 @@
 
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
+import loadbalancer.decision.LoadBalancer;
+import loadbalancer.decision.LoadBalancerActions;
 import loadbalancer.decision.LoadBalancingPolicy;
 import loadbalancer.proxy.configuration.ConfigurationException;
 import loadbalancer.proxy.configuration.SidecarConfiguration;
@@ -22,51 +24,59 @@
         int exitCode = EXIT_START_FAILED;
         try {
             exitCode = startAndServe(environment);
+        } catch (ConfigurationException e) {
+            SidecarLog.info("configuration_invalid reason=" + SidecarLog.quote(e.getMessage()));
+            exitCode = EXIT_CONFIGURATION_INVALID;
         } catch (RuntimeException | Error e) {
             // Errors as well: the event loop's thread would keep a process alive that never becomes ready.
-            SidecarLog.error("can't start", e);
+            SidecarLog.error("start_failed", e);
         }
         SidecarLog.flush();
         return exitCode;
     }
 
-    private static int startAndServe(Map<String, String> environment) throws InterruptedException {
+    private static int startAndServe(Map<String, String> environment)
+            throws ConfigurationException, InterruptedException {
         StartupTimer timer = new StartupTimer();
         NettyEnvironment.prepare();
         ConfigurationReloader reloader = new ConfigurationReloader(environment);
-        SidecarConfiguration configuration;
-        try {
-            configuration = SidecarConfigurationReader.read(environment);
-        } catch (ConfigurationException e) {
-            SidecarLog.info(e.getMessage());
-            return EXIT_CONFIGURATION_INVALID;
-        }
+        SidecarConfiguration configuration = SidecarConfigurationReader.read(environment);
         timer.phaseCompleted("settings");
-        LoadBalancerFactory policy = (config, nowMicros, actions) ->
-                new LoadBalancingPolicy(config.settings(), config.seed(), nowMicros, actions);
-        Sidecar sidecar = new Sidecar(configuration, policy);
-        StartupWarmUp warmUp = new StartupWarmUp(configuration, policy);
+        Sidecar sidecar = new Sidecar(configuration, SidecarProcess::newLoadBalancer);
+        StartupWarmUp warmUp = new StartupWarmUp(configuration, SidecarProcess::newLoadBalancer);
         sidecar.holdReadinessForWarmUp(warmUp::cancel);
-        try {
-            sidecar.start();
-        } catch (Exception e) {
-            // Netty throws the checked exceptions of a failed bind undeclared.
-            SidecarLog.info("can't start: " + e);
+        if (!start(sidecar)) {
             return EXIT_START_FAILED;
         }
         stopOnTermination(sidecar);
-        SidecarLog.info(
-                configuration.name() + " serves on " + sidecar.listenAddress() + ", " + configuration.describeLimits());
+        SidecarLog.info("listening name=" + SidecarLog.quote(configuration.name()) + " address="
+                + sidecar.listenAddress() + " " + configuration.describeLimits());
         reloader.attach(sidecar);
-        timer.phaseCompleted("sockets and module");
-        int requests = warmUp.run();
+        timer.phaseCompleted("sockets");
+        int warmUpRequests = warmUp.run();
         sidecar.warmUpCompleted();
-        timer.phaseCompleted("a rehearsal of " + requests + " requests");
-        SidecarLog.info("ready after this start, in ms: " + timer);
+        timer.phaseCompleted("warm_up");
+        SidecarLog.info("ready " + timer.summary() + " warm_up_requests=" + warmUpRequests);
         awaitTermination();
         return EXIT_STOPPED;
     }
 
+    private static LoadBalancer newLoadBalancer(
+            SidecarConfiguration configuration, long nowMicros, LoadBalancerActions actions) {
+        return new LoadBalancingPolicy(configuration.settings(), configuration.seed(), nowMicros, actions);
+    }
+
+    private static boolean start(Sidecar sidecar) {
+        try {
+            sidecar.start();
+            return true;
+        } catch (Exception e) {
+            // Netty throws the checked exception of an address that can't be listened on undeclared.
+            SidecarLog.info("start_failed error=" + SidecarLog.quote(e));
+            return false;
+        }
+    }
+
     private static void stopOnTermination(Sidecar sidecar) {
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(sidecar)));
     }
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -14,7 +14,7 @@
 
 /** A sidecar's process: a real decision module whose actions are carried to the models of the fleet. */
 final class SimulatedSidecar extends NoOpActions {
-    private static final Pattern FLEET_RATE = Pattern.compile("^rate \\d+ of (\\d+) a second");
+    private static final Pattern FLEET_RATE = Pattern.compile("^estimates .*?\\bfleet_rate_per_second=(\\d+)");
 
     private static final double NO_ESTIMATE = -1;
 
