--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -42,6 +42,8 @@
              "load_info":{"how":"inline","fields":["busy_reqs","pending","cpu_share"]},
              "something_new":{"a":[{"b":null}]}}""";
 
+    private static final String WAIT_PARAMETER = "&wait=";
+
     /** What the load balancer does with a request; called on the event loop. */
     public interface RequestHandler {
         void handle(long now, Request request, LoadBalancerActions out);
@@ -86,10 +88,16 @@
         discovery = new StubServer(discoveryScript);
     }
 
-    /** Discovery where nothing changes: every watch that may wait is kept waiting. */
+    /**
+     * Discovery where nothing changes: a watch is answered with an empty delta when its wait has passed, a request for
+     * the full list not at all.
+     */
     public SidecarFixture() throws IOException {
         this((request, connection) -> {
-            if (request.path().endsWith("&wait=0")) {
+            String path = request.path();
+            int waitParameter = path.indexOf(WAIT_PARAMETER);
+            if (waitParameter >= 0) {
+                StubServer.sleep(Long.parseLong(path.substring(waitParameter + WAIT_PARAMETER.length())));
                 connection.answer("200 OK", "", list(41, false));
             }
         });
--- a/src/test/java/loadbalancer/proxy/testing/StubServer.java
+++ b/src/test/java/loadbalancer/proxy/testing/StubServer.java
@@ -37,6 +37,15 @@
         return (request, connection) -> connection.answer("200 OK", "", request.header("X-Txn"));
     }
 
+    /** Blocks the script of a connection for a time. */
+    public static void sleep(long millis) throws InterruptedIOException {
+        try {
+            Thread.sleep(millis);
+        } catch (InterruptedException e) {
+            throw new InterruptedIOException();
+        }
+    }
+
     /** Blocks the script of a connection until the latch is released. */
     public static void awaitLatch(CountDownLatch latch) throws InterruptedIOException {
         try {
