--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -10,7 +10,6 @@
  * send; then connections and the listener close as they become idle. Confined to the event loop.
  */
 final class GracefulShutdown {
-    private static final long MICROS_PER_MILLI = 1_000;
     /** Clients go on connecting for up to 400 ms after the request to shut down; with a reserve. */
     private static final long SERVING_MICROS = 600_000;
     /** A connection that was active, or a listener that accepted, this recently may have a request on its way. */
@@ -36,7 +35,7 @@
         COMPLETED
     }
 
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final ClientListener listener;
     private final ClientConnections connections;
     private final RequestClasses requestClasses;
@@ -45,11 +44,11 @@
     private long latestResponseMicros = Long.MAX_VALUE;
 
     GracefulShutdown(
-            ReadTrackingEventLoop reads,
+            ReadTrackingEventLoop eventLoop,
             ClientListener listener,
             ClientConnections connections,
             RequestClasses requestClasses) {
-        this.reads = reads;
+        this.eventLoop = eventLoop;
         this.listener = listener;
         this.connections = connections;
         this.requestClasses = requestClasses;
@@ -66,7 +65,7 @@
 
     /** Starts the shutdown; {@code onCompleted} runs once the listener and all connections are closed. */
     void start(Runnable onCompleted) {
-        long nowMicros = reads.clock().nowMicros();
+        long nowMicros = eventLoop.clock().nowMicros();
         phase = Phase.SERVING;
         servingUntilMicros = nowMicros + SERVING_MICROS;
         latestResponseMicros = nowMicros
@@ -83,13 +82,14 @@
             SidecarLog.info("shutdown_completed client_connections=0");
             onCompleted.run();
         } else {
-            reads.eventLoop()
+            eventLoop
+                    .eventLoop()
                     .schedule(() -> checkRepeatedly(onCompleted), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void check() {
-        long nowMicros = reads.clock().nowMicros();
+        long nowMicros = eventLoop.clock().nowMicros();
         if (nowMicros < servingUntilMicros) {
             return;
         }
@@ -107,8 +107,7 @@
         boolean unaware = nowMicros >= servingUntilMicros + MAX_LISTENING_MICROS;
         if (listener.isOpen() && listener.isAccepting() && (idleMicros >= MIN_IDLE_MICROS || unaware)) {
             listener.close();
-            SidecarLog.info("listener_closed client_connections=" + connections.size() + " idle_millis="
-                    + idleMicros / MICROS_PER_MILLI);
+            SidecarLog.info("listener_closed client_connections=" + connections.size());
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -1,6 +1,5 @@
 package loadbalancer.proxy.client;
 
-import java.util.function.LongSupplier;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
@@ -18,21 +17,21 @@
     /** A wait in the backlog is an upper bound: at most half of the remaining time is deducted for it. */
     private static final int MAX_BACKLOG_WAIT_DIVISOR = 2;
 
-    private final ReadTrackingEventLoop reads;
+    private final ReadTrackingEventLoop eventLoop;
     private final RequestParser parser;
     private final RequestDispatcher dispatcher;
-    private final LongSupplier latestResponseMicros;
+    private final GracefulShutdown shutdown;
 
-    /** No deadline is later than {@code latestResponseMicros} at the time when the request is parsed. */
+    /** No deadline is later than the latest response of {@code shutdown}. */
     RequestExchangeFactory(
-            ReadTrackingEventLoop reads,
+            ReadTrackingEventLoop eventLoop,
             RequestParser parser,
             RequestDispatcher dispatcher,
-            LongSupplier latestResponseMicros) {
-        this.reads = reads;
+            GracefulShutdown shutdown) {
+        this.eventLoop = eventLoop;
         this.parser = parser;
         this.dispatcher = dispatcher;
-        this.latestResponseMicros = latestResponseMicros;
+        this.shutdown = shutdown;
     }
 
     RequestExchange create(ReceivedRequest received, ResponseHandler responseHandler) throws InvalidRequestException {
@@ -41,17 +40,17 @@
             throw new InvalidRequestException("the request id is in use");
         }
         long deadlineMicros = deadlineMicros(received, parsed.remainingMicros());
-        long untilDeadlineMicros = deadlineMicros - reads.clock().nowMicros();
+        long untilDeadlineMicros = deadlineMicros - eventLoop.clock().nowMicros();
         return new RequestExchange(
                 parsed.toRequest(untilDeadlineMicros), parsed.payload(), deadlineMicros, responseHandler);
     }
 
     private long deadlineMicros(ReceivedRequest received, long remainingMicros) {
         long marginMicros = Math.min(
-                Math.max(MIN_RESPONSE_MARGIN_MICROS, reads.recentLagMicros()),
+                Math.max(MIN_RESPONSE_MARGIN_MICROS, eventLoop.recentLagMicros()),
                 remainingMicros / MAX_RESPONSE_MARGIN_DIVISOR);
         long backlogWaitMicros = Math.min(received.backlogWaitMicros(), remainingMicros / MAX_BACKLOG_WAIT_DIVISOR);
         long sentMicros = received.sentMicros() - backlogWaitMicros;
-        return Math.min(latestResponseMicros.getAsLong(), sentMicros + remainingMicros - marginMicros);
+        return Math.min(shutdown.latestResponseMicros(), sentMicros + remainingMicros - marginMicros);
     }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -47,6 +47,13 @@
     private boolean stopped;
     private long callStartedMicros;
 
+    /**
+     * Creates a watch that is idle until {@link #start} or {@link #poll}.
+     *
+     * @param loop owns this object; all of its methods are called there
+     * @param listener gets each list before the decision module does
+     * @param backoff pauses after failed calls
+     */
     public DiscoveryWatch(
             EventLoop loop,
             MonotonicClock clock,
@@ -66,6 +73,7 @@
         client = new DiscoveryClient(loop, new CallListener());
     }
 
+    /** A backoff with random jitter for one watch. */
     public static ExponentialBackoff defaultBackoff() {
         return new ExponentialBackoff(INITIAL_BACKOFF_MICROS, MAX_BACKOFF_MICROS, bound -> ThreadLocalRandom.current()
                 .nextLong(bound));
@@ -116,7 +124,7 @@
             return;
         }
         callStartedMicros = clock.nowMicros();
-        client.get(address, cursor.nextRequestTarget(timeouts.waitMillis()), nextTimeoutMillis());
+        client.fetch(address, cursor.nextRequestTarget(timeouts.waitMillis()), nextTimeoutMillis());
     }
 
     private long nextTimeoutMillis() {
