--- a/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
@@ -140,9 +140,9 @@
                 PolicyFixture fixture = fixtures.get(i);
                 fixture.advance(10_000);
                 if (step % 50 == 0) {
-                    for (int peer = 0; peer < 20; peer++) {
-                        int sender = (peer == 0 ? 0 : i + peer) % sidecarCount;
-                        fixture.gossipReceived(sender, peer == 0 ? 40 : 3, 0);
+                    for (int offset = 0; offset < 20; offset++) {
+                        int sender = (offset == 0 ? 0 : i + offset) % sidecarCount;
+                        fixture.gossipReceived(sender, offset == 0 ? 40 : 3, 0);
                     }
                 }
                 // 40 a second at the first sidecar, 3 at each other: 337, of about 460 that the endpoints can serve.
