--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -11,9 +11,6 @@
 
 /** The endpoints of the lists so far and their machine types. Removed ones stay until their last attempt has ended. */
 final class EndpointRegistry {
-    private static final Comparator<TrackedEndpoint> SHARED_ORDER =
-            Comparator.comparingInt(TrackedEndpoint::sharedOrder).thenComparing(TrackedEndpoint::id);
-
     private final PolicySettings settings;
     private final IdleConnectionGuard idleConnections;
     private final Map<String, TrackedEndpoint> endpoints = new LinkedHashMap<>();
@@ -77,7 +74,7 @@
             }
         }
         if (settings.usesSubset()) {
-            ready.sort(SHARED_ORDER);
+            ready.sort(Comparator.comparingInt(TrackedEndpoint::sharedOrder).thenComparing(TrackedEndpoint::id));
         }
     }
 
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -31,7 +31,18 @@
     private long updatedMicros;
     private double wantedSize;
 
-    private record ZoneAndType(int zone, String machineType) {}
+    /** Key of a group. Its methods are written out: generated ones are linked at their first call, which takes long. */
+    private record ZoneAndType(int zone, String machineType) {
+        @Override
+        public boolean equals(Object other) {
+            return other instanceof ZoneAndType key && key.zone == zone && key.machineType.equals(machineType);
+        }
+
+        @Override
+        public int hashCode() {
+            return 31 * machineType.hashCode() + zone;
+        }
+    }
 
     EndpointSubset(
             PolicySettings settings,
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -32,15 +32,15 @@
  */
 final class PolicyFixture implements LoadBalancerActions {
     /** Looks through the waiting requests. */
-    static final String SWEEP_TIMER = "hold";
+    static final String SWEEP_TIMER = TimerNames.QUEUE_SWEEP;
     /** Sends gossip. */
-    static final String GOSSIP_TIMER = "tell";
+    static final String GOSSIP_TIMER = TimerNames.GOSSIP;
     /** Polls discovery again after a failure. */
-    static final String DISCOVERY_TIMER = "ask";
+    static final String DISCOVERY_TIMER = TimerNames.DISCOVERY_RETRY;
     /** Followed by a request id: an attempt of the request is overdue. */
-    static final String OVERDUE_TIMER_PREFIX = "late:";
+    static final String OVERDUE_TIMER_PREFIX = TimerNames.ATTEMPT_OVERDUE;
     /** Followed by a request id: the health check of its endpoint had time to be answered. */
-    static final String UNRESPONSIVE_TIMER_PREFIX = "mute:";
+    static final String UNRESPONSIVE_TIMER_PREFIX = TimerNames.HEALTH_CHECK_DUE;
     /** Target of gossip that goes to every sidecar. */
     static final int ALL_SIDECARS = -1;
 
--- a/src/test/java/loadbalancer/simulator/SimulatorHostTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorHostTest.java
@@ -12,7 +12,7 @@
 /** Batches are answered with the actions of their instances, and invalid input with one line. */
 class SimulatorHostTest {
     /** Name of the decision module's timer that sends gossip. */
-    private static final String GOSSIP_TIMER = "tell";
+    private static final String GOSSIP_TIMER = "gossip";
 
     private static final String SETTINGS = "me=0 balancers=2 zone=z kinds=k azs=z profiles.count=1 profiles.0.name=c "
             + "profiles.0.semantics=safe profiles.0.objective_us=300000 profiles.0.give_up_us=800000 "
