--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -34,7 +34,7 @@
 
     private static final double UTILIZATION = 0.6;
     /** Name of the module's timer that sends gossip. */
-    private static final String GOSSIP_TIMER = "tell";
+    private static final String GOSSIP_TIMER = "gossip";
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final SplittableRandom random = new SplittableRandom(7);
