--- a/src/main/java/loadbalancer/decision/AdmissionControl.java
+++ b/src/main/java/loadbalancer/decision/AdmissionControl.java
@@ -31,7 +31,8 @@
         if (capacity <= 0) {
             return false;
         }
-        double waitMicros = 1e6 * (fleetLoad.fleetInFlight(nowMicros) - routing.cores()) / capacity;
+        double waitMicros =
+                RateMath.MICROS_PER_SECOND * (fleetLoad.fleetInFlight(nowMicros) - routing.cores()) / capacity;
         double priority = settings.relativePriority(request.requestClass());
         double waitRatio = waitMicros / (settings.topLatencyObjectiveMicros() * Math.sqrt(priority));
         return random.nextDouble() * (SHED_ALL_RATIO - SHED_NONE_RATIO) < waitRatio - SHED_NONE_RATIO;
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -94,16 +94,15 @@
 
     private double size() {
         double ready = registry.ready().size();
-        double arc = PolicySettings.SIDECARS_PER_ENDPOINT
-                * ready
-                * rates.localPerSecond()
-                / Math.max(1e-9, rates.fleetPerSecond());
+        double arc = RateMath.divide(
+                PolicySettings.SIDECARS_PER_ENDPOINT * ready * rates.localPerSecond(), rates.fleetPerSecond());
         wantedSize = Math.max(Math.max(MIN_SIZE, arc), SHRINK_RATIO * wantedSize);
         if (!idleConnections.hasLimit()) {
             return wantedSize;
         }
-        // No more than are used often enough to keep their connections.
-        double keptConnections = Math.max(1, rates.localPerSecond() * idleConnections.limitMicros() / 2e6);
+        // A connection is kept where it is used twice within the limit.
+        double usesInLimit = rates.localPerSecond() * idleConnections.limitMicros();
+        double keptConnections = Math.max(1, usesInLimit / (2 * RateMath.MICROS_PER_SECOND));
         return Math.min(keptConnections, wantedSize);
     }
 
--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -53,6 +53,6 @@
 
     /** Endpoints hold no more for a sidecar than what came to it within the longest deadline. */
     private double plausibleInFlight(double inFlight, double ratePerSecond) {
-        return Math.min(inFlight, 1 + ratePerSecond * settings.longestDeadlineMicros() / 1e6);
+        return Math.min(inFlight, 1 + ratePerSecond * settings.longestDeadlineMicros() / RateMath.MICROS_PER_SECOND);
     }
 }
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -84,11 +84,10 @@
 
     /** Messages that this sidecar may send now: each pays for its part of the fleet's requests. */
     private double affordableMessages(int bytes) {
-        double pricePerSecond = settings.prices().gossip() * bytes / PRICED_BYTES * 1e6 / INTERVAL_MICROS;
-        return MAX_PRICE_PER_REQUEST
-                * rates.fleetPerSecond()
-                / settings.sidecarCount()
-                / Math.max(1e-9, pricePerSecond);
+        double price = settings.prices().gossip() * bytes / PRICED_BYTES;
+        double pricePerSecond = price * RateMath.MICROS_PER_SECOND / INTERVAL_MICROS;
+        double budgetPerSecond = MAX_PRICE_PER_REQUEST * rates.fleetPerSecond() / settings.sidecarCount();
+        return RateMath.divide(budgetPerSecond, pricePerSecond);
     }
 
     private void sendToSome(int messages, byte[] bytes) {
--- a/src/main/java/loadbalancer/decision/HealthCheckedSelector.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckedSelector.java
@@ -155,7 +155,7 @@
         }
         double remoteRate = Math.max(0, rates.fleetPerSecond() - rates.localPerSecond());
         double remotePerEndpointMicro =
-                remoteRate / Math.max(1, registry.ready().size()) / 1e6;
+                remoteRate / Math.max(1, registry.ready().size()) / RateMath.MICROS_PER_SECOND;
         return (nowMicros - reportedMicros) * remotePerEndpointMicro < MAX_UNSEEN_REQUESTS;
     }
 
--- /dev/null
+++ b/src/main/java/loadbalancer/decision/RateMath.java
@@ -0,0 +1,15 @@
+package loadbalancer.decision;
+
+/** Arithmetic on rates. */
+final class RateMath {
+    static final double MICROS_PER_SECOND = 1e6;
+    /** Far below every rate and sum in use. */
+    private static final double MIN_DENOMINATOR = 1e-9;
+
+    private RateMath() {}
+
+    /** Divides by a number that is not negative; 0 counts as a very small one. */
+    static double divide(double numerator, double denominator) {
+        return numerator / Math.max(MIN_DENOMINATOR, denominator);
+    }
+}
--- a/src/main/java/loadbalancer/decision/RequestRateEstimator.java
+++ b/src/main/java/loadbalancer/decision/RequestRateEstimator.java
@@ -34,7 +34,7 @@
         double passedMicros = Math.max(1, nowMicros - measuredMicros);
         double beforeStart = Math.exp((startedMicros - measuredMicros) / AVERAGING_MICROS);
         double keep = (1 - beforeStart) / (Math.exp(passedMicros / AVERAGING_MICROS) - beforeStart);
-        localRate = keep * localRate + (1 - keep) * arrivals * 1e6 / passedMicros;
+        localRate = keep * localRate + (1 - keep) * arrivals * RateMath.MICROS_PER_SECOND / passedMicros;
         arrivals = 0;
         measuredMicros = nowMicros;
         gossip.summarize(nowMicros, settings.localZone(), localRate);
--- a/src/main/java/loadbalancer/decision/RoutingTable.java
+++ b/src/main/java/loadbalancer/decision/RoutingTable.java
@@ -14,8 +14,6 @@
     /** Endpoints without a share keep this part of their rate: it counts when all with a share are full. */
     private static final double MIN_WEIGHT_RATIO = 1e-6;
 
-    private static final double MICROS_PER_SECOND = 1e6;
-
     private final PolicySettings settings;
     private final EndpointRegistry registry;
     private final EndpointSubset subset;
@@ -108,7 +106,7 @@
             speedFactorSum += endpoint.speedFactor();
         }
         double meanServiceMicros = speedFactorSum / (double) group.size() * work.meanWorkMicros();
-        return MICROS_PER_SECOND
+        return RateMath.MICROS_PER_SECOND
                 * first.machineType().cores()
                 * slowStart.capacityRatio(first, nowMicros)
                 / meanServiceMicros;
--- a/src/main/java/loadbalancer/decision/SlowStartBudget.java
+++ b/src/main/java/loadbalancer/decision/SlowStartBudget.java
@@ -15,6 +15,8 @@
 
     private static final double SLOTS_PER_WINDOW = 3;
     private static final double SLOTS_PER_WINDOW_SAMPLED = 1.5;
+    /** A slot is half a window. */
+    private static final double WINDOW_MICROS_PER_SLOT_SECOND = 2 * RateMath.MICROS_PER_SECOND;
     /** Sampled turns are spread over this part of a window. */
     private static final int TURN_SPREAD_DIVISOR = 4;
 
@@ -113,7 +115,7 @@
 
     /** The most that this sidecar sends in a slot: by its part of the fleet's rate, and one more. */
     private long maxRequestsPerTurn(long fleetRequests) {
-        return 1 + (long) (fleetRequests * rates.localPerSecond() / Math.max(1e-9, rates.fleetPerSecond()));
+        return 1 + (long) RateMath.divide(fleetRequests * rates.localPerSecond(), rates.fleetPerSecond());
     }
 
     /**
@@ -122,14 +124,11 @@
      * requests. An endpoint in slow start has nothing to do and so wins when it is one of the two drawn.
      */
     private double turns(TrackedEndpoint endpoint, long fleetRequests) {
-        double drawn = 2
-                * rates.fleetPerSecond()
-                * settings.rules().overloadWindowMicros()
-                / 2e6
-                * endpoint.routingWeight()
-                / Math.max(1e-9, routing.weightSum());
-        double drawnLocally = drawn * rates.localPerSecond() / Math.max(1e-9, rates.fleetPerSecond());
-        double sent = drawn * Math.min(1, maxRequestsPerTurn(fleetRequests) / Math.max(1e-9, drawnLocally));
-        return settings.sidecarCount() * fleetRequests / Math.max(1e-9, sent);
+        double fleetRate = rates.fleetPerSecond();
+        double drawsInSlot = 2 * fleetRate * settings.rules().overloadWindowMicros() / WINDOW_MICROS_PER_SLOT_SECOND;
+        double drawn = RateMath.divide(drawsInSlot * endpoint.routingWeight(), routing.weightSum());
+        double drawnLocally = RateMath.divide(drawn * rates.localPerSecond(), fleetRate);
+        double sent = drawn * Math.min(1, RateMath.divide(maxRequestsPerTurn(fleetRequests), drawnLocally));
+        return RateMath.divide(settings.sidecarCount() * fleetRequests, sent);
     }
 }
--- a/src/main/java/loadbalancer/decision/ZoneShares.java
+++ b/src/main/java/loadbalancer/decision/ZoneShares.java
@@ -30,7 +30,7 @@
         int localZone = settings.localZone();
         double total = gossip.livePeers() > 0 ? gossip.meanRate() : 0;
         double localShare =
-                total <= 0 ? 1 : Math.min(1, shares[localZone] * total / Math.max(1e-9, gossip.zoneRate(localZone)));
+                total <= 0 ? 1 : Math.min(1, RateMath.divide(shares[localZone] * total, gossip.zoneRate(localZone)));
         double spareSum = 0;
         for (int zone = 0; zone < shares.length; zone++) {
             boolean takesNone = zone == localZone || total <= 0;
@@ -38,7 +38,7 @@
             spareSum += shares[zone];
         }
         for (int zone = 0; zone < shares.length; zone++) {
-            shares[zone] *= (1 - localShare) / Math.max(1e-9, spareSum);
+            shares[zone] *= RateMath.divide(1 - localShare, spareSum);
         }
         shares[localZone] = localShare;
     }
--- a/src/main/java/loadbalancer/decision/package-info.java
+++ b/src/main/java/loadbalancer/decision/package-info.java
@@ -5,7 +5,9 @@
  *
  * <p>{@link loadbalancer.decision.LoadBalancer} is the interface, {@link loadbalancer.decision.LoadBalancerActions}
  * what it may do. {@link loadbalancer.decision.LoadBalancingPolicy} hands each event to its part; the parts are wired
- * in {@code Estimators}, {@code EndpointRouting} and {@code RequestHandling}. What a rule remembers of an endpoint or
- * of a request is a type nested in the rule's class, which no other class can write.
+ * in {@code Estimators}, {@code EndpointRouting} and {@code RequestHandling}.
+ *
+ * <p>What a rule remembers of an endpoint is a type nested in the rule's class, which no other class can write. The few
+ * flags of a request are written by the class that is named at their setter.
  */
 package loadbalancer.decision;
