--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Lets the speed factor return towards the least one seen without answers: a type that seems slow gets no requests
-     * that would show otherwise.
+     * Without recent answers, moves the speed factor towards the least one seen: a type that seems slow gets no
+     * requests that would show otherwise.
      */
     void relax(long nowMicros) {
         if (nowMicros - answeredMicros > STALE_MICROS) {
