--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -7,11 +7,12 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
- * Pauses and resumes accepting on the pipeline of one listener, and bounds how long a connection waited in the system's
- * backlog meanwhile: the time for its first request runs there already. Confined to the event loop.
+ * Pauses and resumes accepting connections on one listener, and computes an upper bound on how long a connection waited
+ * in the operating system's accept backlog. That wait counts against the deadline of the connection's first request. A
+ * handler on the listener's pipeline; confined to the event loop.
  */
 final class AcceptBacklog extends ChannelInboundHandlerAdapter {
-    /** Netty accepts at most so many connections in one read of a listener. */
+    /** The most connections that Netty accepts in one read of a listener. */
     private static final int MAX_ACCEPTS_PER_READ = 16;
 
     private static final long NEVER = 0;
@@ -19,9 +20,9 @@
     private final ReadTrackingEventLoop eventLoop;
     private Channel listener;
     private int acceptedInRead;
-    /** Since when connections may be waiting; {@link #NEVER} where none are. */
+    /** When connections may have begun to wait in the backlog; {@link #NEVER} if none can be waiting. */
     private long pausedMicros = NEVER;
-    /** Since when the waiting connections are being accepted; {@link #NEVER} while accepting is paused. */
+    /** When accepting was last resumed, or last read a full batch; {@link #NEVER} while accepting is paused. */
     private long resumedMicros = NEVER;
 
     AcceptBacklog(ReadTrackingEventLoop eventLoop) {
@@ -46,26 +47,27 @@
         long nowMicros = eventLoop.clock().nowMicros();
         if (accepting) {
             resumedMicros = nowMicros;
-            // Wakes the loop for a read of all sockets, after which it is known whether any connection waited.
+            // Wakes the loop so that it reads all sockets; only then is it known whether any connection was waiting.
             eventLoop.eventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
         } else {
-            pausedMicros = mayHoldConnections() ? pausedMicros : nowMicros;
+            forgetPauseOnceRead();
+            pausedMicros = pausedMicros == NEVER ? nowMicros : pausedMicros;
             resumedMicros = NEVER;
         }
     }
 
-    /** How long a connection that is accepted now has waited at most, in microseconds. */
+    /** The longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
     long maxWaitMicros() {
-        return mayHoldConnections() ? eventLoop.clock().nowMicros() - pausedMicros : 0;
+        forgetPauseOnceRead();
+        return pausedMicros == NEVER ? 0 : eventLoop.clock().nowMicros() - pausedMicros;
     }
 
-    private boolean mayHoldConnections() {
+    /** The first read of all sockets after accepting was resumed has accepted every connection that was waiting. */
+    private void forgetPauseOnceRead() {
         boolean readSinceResumed = resumedMicros != NEVER && eventLoop.lastReadMicros() > resumedMicros;
         if (readSinceResumed) {
-            // A read of all sockets since then has accepted whatever waited.
             pausedMicros = NEVER;
         }
-        return pausedMicros != NEVER;
     }
 
     @Override
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -21,8 +21,8 @@
 import loadbalancer.proxy.protocol.HeaderValues;
 
 /**
- * One connection of a client: handles its requests one after the other and writes one response for each, in the order
- * of the requests. The last handler of the connection's pipeline; confined to the event loop.
+ * One connection of a client: handles its requests one at a time and writes one response to each, in the order in which
+ * the requests came. The last handler of the connection's pipeline; confined to the event loop.
  *
  * <p>Input that cannot be read as a request gets an error response after the responses that are still pending, and the
  * connection closes. A client that closes the connection, or only its sending side, has disconnected: its request ends
@@ -37,7 +37,7 @@
         AWAITING_REQUEST,
         /** A request is being handled and has no response yet. */
         RESPONSE_PENDING,
-        /** The last response is written; whatever the client sends is ignored. */
+        /** The last response has been written; further input is ignored. */
         CLOSING
     }
 
@@ -50,9 +50,9 @@
     private final ConnectionActivity activity;
     private final PipelinedRequests pipelinedRequests = new PipelinedRequests();
     private State state = State.AWAITING_REQUEST;
-    /** The dispatched request without a response; null where there is none. */
+    /** The dispatched request that has no response yet; null if there is none. */
     private RequestExchange currentExchange;
-    /** Whether the server counts the connection as kept open between requests. */
+    /** Whether the server counts this connection as idle (kept open between two requests). */
     private boolean countedAsIdle;
     /** The error to respond with after all pending responses, before closing; null while the input is valid. */
     private HttpResponseStatus inputError;
@@ -104,7 +104,7 @@
             endInput(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        // A late event loop reads bytes later than they came.
+        // If the event loop is late, the bytes arrived before they were read.
         long sentMicros = activity.lastActivityMicros() - eventLoop.lateMicros();
         pipelinedRequests.add(new ReceivedRequest(request, sentMicros, activity.requestBacklogWaitMicros()));
         activity.requestReceived();
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Accepts no further input; the error is written after the pending responses, and the connection closes. */
+    /** Stops reading requests. The error is written after the pending responses; then the connection closes. */
     private void endInput(HttpResponseStatus error) {
         if (inputError == null) {
             inputError = error;
@@ -205,7 +205,7 @@
         }
     }
 
-    /** Keeps the connection open only where the client wants that and the server has room for one more. */
+    /** Keeps the connection open only if the client asked for that and {@link #serverAllowsReuse} agrees. */
     private void write(ClientResponse response, ConnectionReuse requestedReuse) {
         boolean keepAlive = requestedReuse == ConnectionReuse.KEEP_ALIVE && serverAllowsReuse();
         currentExchange = null;
@@ -219,12 +219,15 @@
         }
         countAsIdle();
         if (!pipelinedRequests.isEmpty() || inputError != null) {
-            // In a task of its own: this response may be written while its request is still being handled.
+            // Run as a separate task, because this response may be written from within the handling of its request.
             channel.eventLoop().execute(this::handlePipelinedRequests);
         }
     }
 
-    /** Pipelined requests still need their responses: only between requests is a connection given up for room. */
+    /**
+     * With further pipelined requests to answer, only a shutdown closes the connection; between requests the limit of
+     * idle connections applies as well.
+     */
     private boolean serverAllowsReuse() {
         return pipelinedRequests.isEmpty() ? server.mayKeepIdleConnection() : !server.isShuttingDown();
     }
@@ -260,12 +263,18 @@
         return activity.lastActivityMicros();
     }
 
-    /** How long the connection has been between requests, in microseconds; 0 where it is not. */
+    /**
+     * How long the connection has been between requests, in microseconds; 0 if it is handling or receiving one, or is
+     * about to close.
+     */
     long idleMicros(long nowMicros) {
         return isBetweenRequests() && inputError == null ? nowMicros - activity.lastActivityMicros() : 0;
     }
 
-    /** Responds 408 to a request that is not complete in time; closes a connection that is idle for too long. */
+    /**
+     * Responds with 408 to a request that is not received completely in time, and closes a connection that has been
+     * idle for too long.
+     */
     void closeIfStalled(long nowMicros) {
         if (hasPendingResponse()) {
             return;
@@ -278,8 +287,10 @@
     }
 
     /**
-     * Closes the connection where no response is pending and it was last active before {@code idleSinceMicros}, or, in
-     * the middle of a request, before {@code receivingSinceMicros}.
+     * Closes the connection if no response is pending and its last activity was before a given time.
+     *
+     * @param idleSinceMicros the time for a connection between requests
+     * @param receivingSinceMicros the time for a connection that has received only part of a request
      */
     void closeIfInactive(long idleSinceMicros, long receivingSinceMicros) {
         long sinceMicros = isBetweenRequests() ? idleSinceMicros : receivingSinceMicros;
--- a/src/main/java/loadbalancer/proxy/client/ClientConnections.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnections.java
@@ -5,9 +5,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** The open connections of clients, and which of them to close for want of room. Confined to the event loop. */
+/**
+ * The open connections of clients. Selects which one to close when the limit is reached. Confined to the event loop.
+ */
 final class ClientConnections {
-    /** A connection's first request may still be on its way for so long after the connection is accepted. */
+    /** A connection that was active more recently than this may have a request on its way, and is not evicted. */
     private static final long EVICTION_GRACE_MICROS = 50_000;
 
     private final ConnectionLimits limits;
@@ -38,7 +40,7 @@
         return connections.size() >= limits.maxConnections();
     }
 
-    /** A connection is kept open between two requests from now on. */
+    /** Counts a connection that is now kept open between two requests. */
     void idleConnectionAdded() {
         idleConnections++;
     }
@@ -47,13 +49,17 @@
         idleConnections--;
     }
 
-    /** Clients that do not reuse what is kept open for them would otherwise use up all connections. */
+    /**
+     * Whether one more idle connection may be kept open. Without this limit, clients that never reuse their connections
+     * would occupy all of them.
+     */
     boolean mayKeepIdleConnection() {
         return idleConnections < limits.maxIdleConnections();
     }
 
     /**
-     * Where there is no room left, closes one idle connection: first one without any request so far, then the oldest.
+     * If the limit is reached, closes one idle connection: preferably one that has never sent a request, otherwise the
+     * one that was last active longest ago.
      */
     void evictIdleConnectionIfFull(long nowMicros) {
         if (isFull()) {
@@ -66,13 +72,11 @@
     }
 
     void closeStalled(long nowMicros) {
-        // Of a copy: a close removes its connection from the set.
+        // Iterates over a copy, because closing a connection removes it from the set.
         List.copyOf(connections).forEach(connection -> connection.closeIfStalled(nowMicros));
     }
 
-    /**
-     * Closes the connections that were last active before these times; see {@link ClientConnection#closeIfInactive}.
-     */
+    /** Calls {@link ClientConnection#closeIfInactive} on every connection. */
     void closeInactive(long idleSinceMicros, long receivingSinceMicros) {
         List.copyOf(connections)
                 .forEach(connection -> connection.closeIfInactive(idleSinceMicros, receivingSinceMicros));
--- a/src/main/java/loadbalancer/proxy/client/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientListener.java
@@ -16,7 +16,10 @@
  */
 final class ClientListener {
     private static final int SYSTEM_BACKLOG = 256;
-    /** Enough to read all that a client pipelines, and the end of the connection behind it, in one iteration. */
+    /**
+     * Enough to read all requests that a client pipelined, and the end of the connection after them, in one iteration
+     * of the event loop.
+     */
     private static final int MAX_READS_PER_ITERATION = 64;
 
     private final ReadTrackingEventLoop eventLoop;
@@ -43,7 +46,8 @@
                 .option(ChannelOption.SO_BACKLOG, SYSTEM_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // A read that does not fill its buffer is not the last: the end of the connection may follow.
+                // Netty would stop after a read that does not fill the buffer, and miss an end of connection that
+                // follows.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
@@ -62,19 +66,19 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Pauses or resumes accepting; connections wait in the system's backlog meanwhile. */
+    /** Pauses or resumes accepting. While it is paused, new connections wait in the operating system's backlog. */
     void setAccepting(boolean accepting) {
         backlog.setAccepting(accepting);
     }
 
-    /** How long a connection that is accepted now has waited at most, in microseconds. */
+    /** The longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
     long maxBacklogWaitMicros() {
         return backlog.maxWaitMicros();
     }
 
     /**
-     * How long no connection has come, in microseconds. While accepting is paused it is not known whether any comes: 0,
-     * and counted from then on.
+     * The time since the last connection was accepted, in microseconds. Returns 0 while accepting is paused, as it is
+     * not known then whether connections are waiting; the time is counted from the last such call.
      */
     long idleMicros(long nowMicros) {
         if (!backlog.isAccepting()) {
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientServer.java
@@ -10,9 +10,10 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The sidecar's HTTP server for the application: accepts its connections within {@link ConnectionLimits}, says whether
- * the sidecar is ready, and shuts down without losing requests. Apart from the constructor, {@link #listen} and
- * {@link #holdReadinessForWarmUp}, which run before the server has clients, methods are called on the event loop.
+ * The sidecar's HTTP server for the application: accepts connections within {@link ConnectionLimits}, reports
+ * readiness, and shuts down without losing requests. The constructor, {@link #listen} and
+ * {@link #holdReadinessForWarmUp} are called on the thread that starts the sidecar; all other methods on the event
+ * loop.
  */
 public final class ClientServer {
     private final ReadTrackingEventLoop eventLoop;
@@ -26,11 +27,12 @@
     private final ClientConnections connections;
     private final ClientListener listener;
     private final GracefulShutdown shutdown;
-    /** Called with each request during the warm-up; null while there is none. */
+    /** Called with each request during the warm-up; null if no warm-up is in progress. */
     private Runnable onRequestDuringWarmUp;
 
     /**
-     * {@code canServe} says whether there are endpoints to forward requests to; without any, the server is not ready.
+     * {@code canServe} returns whether there are endpoints to forward requests to; the server is ready only then. It is
+     * called on the event loop.
      */
     public ClientServer(
             ReadTrackingEventLoop eventLoop,
@@ -63,12 +65,17 @@
         return connections.size();
     }
 
-    /** Listens on {@code address}, returns the bound address; called by another thread than the event loop's. */
+    /**
+     * Listens on {@code address} and returns the bound address. Blocks until the socket is bound, so it must not be
+     * called on the event loop.
+     */
     public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
         return listener.bind(address);
     }
 
-    /** Reports not ready until {@link #warmUpCompleted}; {@code onRequest} runs with each request that comes before. */
+    /**
+     * Reports not ready until {@link #warmUpCompleted}. Until then {@code onRequest} runs for each accepted request.
+     */
     public void holdReadinessForWarmUp(Runnable onRequest) {
         onRequestDuringWarmUp = onRequest;
     }
@@ -79,13 +86,17 @@
 
     /** A valid request was received and is about to be dispatched. */
     void requestAccepted() {
-        if (onRequestDuringWarmUp != null) {
+        if (isWarmingUp()) {
             onRequestDuringWarmUp.run();
         }
     }
 
     boolean isReady() {
-        return !isShuttingDown() && onRequestDuringWarmUp == null && canServe.getAsBoolean();
+        return !isShuttingDown() && !isWarmingUp() && canServe.getAsBoolean();
+    }
+
+    private boolean isWarmingUp() {
+        return onRequestDuringWarmUp != null;
     }
 
     boolean isShuttingDown() {
@@ -121,8 +132,9 @@
     }
 
     /**
-     * Beyond the maximum, connections wait in the backlog, because upstream connections need descriptors too. During a
-     * shutdown the maximum does not count: what waits there then is the last.
+     * Stops accepting at the maximum, because upstream connections need file descriptors too; further connections wait
+     * in the backlog. During a shutdown the maximum is ignored, so that connections already in the backlog are still
+     * served.
      */
     private void updateAccepting() {
         boolean belowMaximum = isShuttingDown() || !connections.isFull();
@@ -130,8 +142,9 @@
     }
 
     /**
-     * Closes connections that hold a descriptor without use: without a request, with an incomplete one, or idle. Called
-     * several times a second; also accepts connections again once upstream connections have released descriptors.
+     * Closes connections that waste a descriptor: those that sent no request, those whose request is incomplete for too
+     * long, and idle ones. Also resumes accepting once upstream connections have released descriptors. Called every 100
+     * ms by the sidecar's maintenance task.
      */
     public void closeStalledConnections() {
         long nowMicros = clock.nowMicros();
@@ -140,7 +153,10 @@
         updateAccepting();
     }
 
-    /** Serves until clients have stopped sending, and runs {@code onStopped} once all connections are closed. */
+    /**
+     * Starts the shutdown: requests are served until clients have stopped sending. Runs {@code onStopped} on the event
+     * loop once the listener and all connections are closed.
+     */
     public void shutDownGracefully(Runnable onStopped) {
         shutdown.start(onStopped);
     }
--- a/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
@@ -7,9 +7,15 @@
  * microseconds of the {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop.
  */
 final class ConnectionActivity {
-    /** The time for the first request to begin, and for any request from its first byte to its last. */
+    /**
+     * How long after the connection the first request has to begin, and how long any request may take from its first
+     * byte to its last.
+     */
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
-    /** The protocol lets a sidecar close connections between requests; clients then connect again. */
+    /**
+     * How long a connection may stay idle between requests. The protocol allows a sidecar to close it then; clients
+     * connect again.
+     */
     private static final long IDLE_TIMEOUT_MICROS = 4_000_000;
 
     private static final long BETWEEN_REQUESTS = 0;
@@ -17,12 +23,12 @@
     private final long acceptedMicros;
     private final long backlogWaitMicros;
     private long lastActivityMicros;
-    /** When the first byte of the incomplete request was read. */
+    /** When the first byte of the incomplete request was read; {@link #BETWEEN_REQUESTS} if there is none. */
     private long requestStartMicros = BETWEEN_REQUESTS;
 
     private boolean requestReceived;
 
-    /** {@code backlogWaitMicros} is how long the connection waited, at most, to be accepted. */
+    /** {@code backlogWaitMicros} is the longest time that the connection can have waited in the accept backlog. */
     ConnectionActivity(long acceptedMicros, long backlogWaitMicros) {
         this.acceptedMicros = acceptedMicros;
         this.backlogWaitMicros = backlogWaitMicros;
@@ -62,8 +68,9 @@
     }
 
     /**
-     * How long the request whose last byte was just read may have waited with its connection to be accepted; 0 unless
-     * it is the first and was there right after the connection was accepted. Call before {@link #requestReceived}.
+     * The longest time, in microseconds, that the request whose last byte was just read can have waited in the accept
+     * backlog together with its connection. 0 unless it is the connection's first request and was read right after the
+     * connection was accepted. Must be called before {@link #requestReceived}.
      */
     long requestBacklogWaitMicros() {
         boolean prompt = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
--- a/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
@@ -5,7 +5,7 @@
 /**
  * Bounds on the connections of clients.
  *
- * @param maxConnections beyond it, connections wait in the listener's backlog
+ * @param maxConnections most open connections; further ones wait in the listener's backlog
  * @param maxIdleConnections most connections that are kept open between two requests
  * @param descriptorAvailable whether there is a file descriptor for one more connection; called on the event loop
  */
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -6,17 +6,21 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * The end of the client side in good order: first everything is served as before, because clients still connect and
- * send; then connections and the listener close as they become idle. Confined to the event loop.
+ * The graceful shutdown of the client side. In the first phase everything is served as before, because clients still
+ * connect and send requests; in the second, connections and the listener are closed as they become idle. Confined to
+ * the event loop.
  */
 final class GracefulShutdown {
-    /** Clients go on connecting for up to 400 ms after the request to shut down; with a reserve. */
+    /** Clients may still connect for up to 400 ms after the request to shut down; the rest is a reserve. */
     private static final long SERVING_MICROS = 600_000;
     /** A connection that was active, or a listener that accepted, this recently may have a request on its way. */
     private static final long MIN_IDLE_MICROS = 150_000;
 
     private static final long CHECK_INTERVAL_MILLIS = 20;
-    /** Clients that still connect so long after the serving phase do not know of the shutdown. */
+    /**
+     * The listener closes this long after the serving phase at the latest: clients that still connect then do not know
+     * of the shutdown.
+     */
     private static final long MAX_LISTENING_MICROS = 1_000_000;
     /**
      * The process is killed 700 ms plus the longest deadline, of which at most {@link #MAX_KILL_DEADLINE_MICROS} count,
@@ -30,7 +34,7 @@
         NOT_REQUESTED,
         /** Connections are accepted and requests served; every response closes its connection. */
         SERVING,
-        /** Idle connections close; the listener closes once nobody connects any more. */
+        /** Idle connections are closed; the listener is closed once no new connections come. */
         DRAINING,
         COMPLETED
     }
@@ -75,7 +79,7 @@
         checkRepeatedly(onCompleted);
     }
 
-    /** Goes on even if a check fails: otherwise the process would never end. */
+    /** Schedules the next check even if one fails; otherwise the process would never end. */
     private void checkRepeatedly(Runnable onCompleted) {
         FaultBarrier.run("shutdown_check", this::check);
         if (phase == Phase.COMPLETED) {
@@ -101,7 +105,10 @@
         }
     }
 
-    /** A close resets the connections in the backlog: it has to be empty, which shows only while accepting. */
+    /**
+     * Closing the listener resets the connections in its backlog. So the backlog has to be empty, which is known only
+     * while connections are being accepted.
+     */
     private void closeListenerIfIdle(long nowMicros) {
         long idleMicros = listener.idleMicros(nowMicros);
         boolean unaware = nowMicros >= servingUntilMicros + MAX_LISTENING_MICROS;
--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -6,10 +6,11 @@
 /**
  * The valid content of a request's headers.
  *
- * @param tenant null where the request names none
+ * @param tenant null if the request names none
  * @param routingKey a number of 53 bits, or {@link #NO_ROUTING_KEY}
- * @param costHintMicros 0 where the request has none
- * @param remainingMicros the time-out of the client for the response, at most the deadline of the class
+ * @param retry whether the client says that it has sent this request before
+ * @param costHintMicros the work of the request in microseconds of a standard core; 0 if there is no hint
+ * @param remainingMicros how long the client waits for the response, at most the deadline of the class
  */
 record ParsedRequest(
         String id,
@@ -22,7 +23,10 @@
         RequestPayload payload) {
     static final long NO_ROUTING_KEY = -1;
 
-    /** What the load balancer decides on: {@code untilDeadlineMicros} is the time in which to respond, 1 at least. */
+    /**
+     * Creates what the load balancer gets. {@code untilDeadlineMicros} is the time left to respond; values below 1 are
+     * passed on as 1.
+     */
     Request toRequest(long untilDeadlineMicros) {
         return new Request(
                 id,
--- a/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
@@ -9,8 +9,8 @@
  */
 final class PipelinedRequests {
     /**
-     * How much a client may pipeline. Clients of the protocol do not pipeline at all. The bound is not kept by pausing
-     * reads, because the disconnection of a client that is not read goes unnoticed.
+     * How much a client may pipeline; well-behaved clients do not pipeline at all. A client beyond this limit gets an
+     * error. Its socket is not simply left unread, because then its disconnect would not be noticed.
      */
     private static final int MAX_BYTES = 4 * HeaderNames.MAX_REQUEST_BODY_BYTES;
 
@@ -22,7 +22,7 @@
         sizeBytes += request.sizeBytes();
     }
 
-    /** Returns the next request, whose message the caller has to release; null where there is none. */
+    /** Returns the next request, whose message the caller has to release; null if there is none. */
     ReceivedRequest poll() {
         ReceivedRequest request = requests.poll();
         if (request != null) {
--- a/src/main/java/loadbalancer/proxy/client/ReceivedBytesHandler.java
+++ b/src/main/java/loadbalancer/proxy/client/ReceivedBytesHandler.java
@@ -5,9 +5,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Stands before the decoder of a client's connection: notes when bytes arrive, and releases them unread once the
- * connection accepts no further request. They are received all the same, because only then is the end of the connection
- * noticed.
+ * The first handler of a client's connection, before the decoder: records when bytes arrive, and discards them once the
+ * connection accepts no further requests. The socket is still read then, because otherwise the end of the connection
+ * would not be noticed.
  */
 final class ReceivedBytesHandler extends ChannelInboundHandlerAdapter {
     private final ClientConnection connection;
--- a/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -15,9 +15,10 @@
 import loadbalancer.proxy.protocol.HeaderNames;
 
 /**
- * Aggregates requests up to {@link HeaderNames#MAX_REQUEST_BODY_BYTES}. The only response it writes is an expected 100,
- * and that only while no response is pending on the connection, which it would overtake. A request that it cannot
- * aggregate becomes an exception on the pipeline: {@link TooLongFrameException} or {@link CorruptedFrameException}.
+ * Aggregates requests up to {@link HeaderNames#MAX_REQUEST_BODY_BYTES}. It writes no response except {@code 100
+ * Continue} to a client that expects it, and only while no other response is pending, as it would overtake that. A
+ * request that it cannot aggregate becomes an exception on the pipeline: {@link TooLongFrameException} or
+ * {@link CorruptedFrameException}.
  */
 final class RequestAggregator extends HttpObjectAggregator {
     private final BooleanSupplier responsePending;
@@ -42,7 +43,9 @@
         return super.beginAggregation(start, content);
     }
 
-    /** With an encoding other than chunked, what follows may be the body or the next request. */
+    /**
+     * With any transfer encoding but chunked it is ambiguous whether the next bytes are the body or another request.
+     */
     private static boolean hasKnownEnd(HttpMessage start) {
         List<String> encodings = start.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return encodings.isEmpty()
--- a/src/main/java/loadbalancer/proxy/client/RequestClasses.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestClasses.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import loadbalancer.settings.RequestClass;
 
-/** The request classes in force, by name. Confined to the event loop once the server listens. */
+/**
+ * The request classes in force, by name. Confined to the event loop once the server listens; before that, to the thread
+ * that starts it.
+ */
 final class RequestClasses {
     private final Map<String, RequestClass> classes = new HashMap<>();
     private long longestDeadlineMicros;
@@ -23,12 +26,15 @@
         }
     }
 
-    /** Returns null where there is no class of that name. */
+    /** Returns null if there is no class of that name. */
     RequestClass get(String name) {
         return classes.get(name);
     }
 
-    /** No client waits longer than this for a response; 0 where there is no class. */
+    /**
+     * The longest deadline of any class, in microseconds: no client waits longer for a response. 0 if there is no
+     * class.
+     */
     long longestDeadlineMicros() {
         return longestDeadlineMicros;
     }
--- a/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDecoder.java
@@ -6,8 +6,8 @@
 import loadbalancer.proxy.protocol.StrictFraming;
 
 /**
- * Decodes requests and rejects those whose framing two readers may understand differently, so that no request hides in
- * the body of another.
+ * Decodes requests, and rejects those whose framing is ambiguous so that no request can be smuggled in the body of
+ * another; see {@link StrictFraming}.
  */
 final class RequestDecoder extends HttpRequestDecoder {
     RequestDecoder() {
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -22,17 +22,23 @@
 
 /**
  * Carries requests between clients, the load balancer and the upstream connections: reports each request and each
- * outcome of an attempt to the load balancer, carries out what that decides, and gives every request exactly one final
- * response. Where the load balancer fails or gives no response in time, the request fails here.
+ * attempt's outcome to the load balancer, carries out its decisions, and gives every request exactly one final
+ * response. If the load balancer throws or decides nothing in time, the dispatcher fails the request itself.
  *
  * <p>Confined to the event loop, as are the exchanges that it holds. Unknown request ids are ignored, because a
  * decision may arrive after the request has ended.
  */
 public final class RequestDispatcher {
-    /** How long after the deadline the load balancer may still respond; attempts time out at the deadline itself. */
+    /**
+     * How long after a request's deadline the load balancer may still respond to it. Attempts time out at the deadline
+     * itself, so this leaves time to decide on that outcome.
+     */
     private static final long RESPONSE_GRACE_MICROS = 2_000;
 
-    /** A response this long after the deadline is logged: it points to a fault of this program or of its machine. */
+    /**
+     * A response more than this long after its deadline is logged, as it indicates a fault of this program or an
+     * overloaded machine.
+     */
     private static final long LATE_RESPONSE_LOG_MICROS = 100_000;
 
     private final EventLoop loop;
@@ -46,7 +52,10 @@
     /** Requests without a final response, the earliest deadline first. */
     private final TreeSet<RequestExchange> pendingResponses = new TreeSet<>(
             Comparator.comparingLong(RequestExchange::deadlineMicros).thenComparing(RequestExchange::requestId));
-    /** Due when the first pending response is overdue, or earlier; null where no response is pending. */
+    /**
+     * The timer that runs {@link #checkDeadlines} when the first pending response becomes overdue, or earlier; null if
+     * none is scheduled.
+     */
     private Future<?> deadlineCheck;
 
     /**
@@ -70,23 +79,24 @@
         this.statistics = statistics;
     }
 
-    /** Sets how many attempts a request may have from now on; further ones end as not sent. */
+    /** Sets how many attempts a request may have from now on. Further ones end as {@link AttemptOutcome#NOT_SENT}. */
     public void updateMaxAttempts(int attempts) {
         maxAttempts = attempts;
     }
 
-    /** How many requests have no final response yet or an attempt in flight. */
+    /** How many requests have no final response yet, or still have an attempt in flight. */
     public int openRequests() {
         return exchanges.size();
     }
 
+    /** Whether a request of this id is among the {@link #openRequests}. */
     boolean isOpen(String requestId) {
         return exchanges.containsKey(requestId);
     }
 
     /**
-     * Takes over a request. Overdue responses are written first. A request whose own deadline has passed fails at once
-     * and is not reported to the load balancer.
+     * Takes charge of a new request. Other requests that are overdue are failed first. If the deadline of this one has
+     * already passed, it fails at once and the load balancer does not learn of it.
      */
     void dispatch(RequestExchange exchange) {
         failOverdueRequests();
@@ -107,7 +117,9 @@
                 "request", balancer -> balancer.onRequest(clock.nowMicros(), exchange.request()), () -> fail(exchange));
     }
 
-    /** Ends a request without a response. An attempt that is already written ends by itself. */
+    /**
+     * Ends a request without a response. An attempt whose request is already written stays in flight until its outcome.
+     */
     void clientDisconnected(RequestExchange exchange) {
         if (!exchange.isCompleted()) {
             statistics.clientDisconnected();
@@ -117,8 +129,9 @@
     }
 
     /**
-     * Fails the requests whose deadline and grace have passed, the earliest deadline first. On a late event loop this
-     * runs ahead of other work: a failure written now may still be in time, one behind a hundred requests is not.
+     * Fails the requests whose deadline plus {@link #RESPONSE_GRACE_MICROS} has passed, the earliest deadline first. It
+     * is called before each new request and connection is handled: if the event loop is late, a failure written now may
+     * still reach its client in time, but not after a hundred more requests.
      */
     void failOverdueRequests() {
         long nowMicros = clock.nowMicros();
@@ -147,7 +160,10 @@
         }
     }
 
-    /** Fails the open requests that have no attempt in flight, after a fault in which their state may be lost. */
+    /**
+     * Fails the open requests that have no attempt in flight. Called after the load balancer failed in a timer, when it
+     * may have lost track of them.
+     */
     public void failRequestsWithoutAttemptInFlight() {
         for (RequestExchange exchange : List.copyOf(exchanges.values())) {
             if (!exchange.hasAttemptInFlight()) {
@@ -171,10 +187,10 @@
     }
 
     /**
-     * Starts an attempt of a request. One that is out of time, beyond the maximum or of a completed request is not sent
-     * and ends as {@link AttemptOutcome#NOT_SENT}.
+     * Starts an attempt of a request. The attempt ends at once as {@link AttemptOutcome#NOT_SENT} if its time is over,
+     * the request has had the maximum of attempts, or the request already has its final response.
      *
-     * @param untilMicros when to give the attempt up; 0 or less, and any time after it, stand for the deadline
+     * @param untilMicros when the attempt times out; the request's deadline if this is 0, negative or later than that
      */
     public void sendAttempt(String requestId, String endpointId, long untilMicros) {
         RequestExchange exchange = exchanges.get(requestId);
@@ -208,7 +224,7 @@
                 });
     }
 
-    /** {@code body} belongs to the caller and is set with {@link AttemptOutcome#OK} alone. */
+    /** {@code body} is owned by the caller, and null unless the outcome is {@link AttemptOutcome#OK}. */
     private void attemptEnded(RequestExchange exchange, UpstreamCall attempt, AttemptOutcome outcome, ByteBuf body) {
         attempt.noteEnd(clock.nowMicros());
         statistics.attemptCompleted(outcome);
@@ -244,7 +260,7 @@
         }
     }
 
-    /** Gives up one attempt of a request; without effect where there is none of that number or it has ended. */
+    /** Cancels one attempt of a request. Has no effect if there is no attempt of that number or it has ended. */
     public void cancelAttempt(String requestId, int number) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange != null && number >= 0 && number < exchange.attempts().size()) {
@@ -252,7 +268,7 @@
         }
     }
 
-    /** Rejects a request; {@code retryAfterMicros} is 0 where none is suggested. */
+    /** Rejects a request; {@code retryAfterMicros} is 0 if no {@code Retry-After} header is to be sent. */
     public void reject(String requestId, long retryAfterMicros) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange != null && !exchange.isCompleted()) {
@@ -262,7 +278,7 @@
         }
     }
 
-    /** Responds to a request that it has failed. */
+    /** Gives a request its final response: it has failed, and an attempt may have run. */
     public void fail(String requestId) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange != null) {
@@ -278,7 +294,10 @@
         }
     }
 
-    /** Attempts that still wait for a connection are withdrawn: no endpoint has to run them any more. */
+    /**
+     * Marks the request as completed and withdraws the attempts that are not written yet, as no endpoint has to run
+     * them any more.
+     */
     private void complete(RequestExchange exchange) {
         exchange.complete();
         logIfLate(exchange);
@@ -290,7 +309,7 @@
     private void logIfLate(RequestExchange exchange) {
         long nowMicros = clock.nowMicros();
         boolean late = nowMicros - exchange.deadlineMicros() > LATE_RESPONSE_LOG_MICROS;
-        // A pipelined request may be past its deadline before it is dispatched: no fault of this program.
+        // A pipelined request may be past its deadline before it is dispatched, which is no fault of this program.
         if (late && exchange.dispatchedMicros() < exchange.deadlineMicros()) {
             SidecarLog.info(exchange.describeLateResponse(nowMicros));
         }
--- a/src/main/java/loadbalancer/proxy/client/RequestExchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -62,7 +62,7 @@
         dispatchedMicros = nowMicros;
     }
 
-    /** Whether the final response was given, or none is needed because the client has disconnected. */
+    /** Whether the final response was written, or is no longer needed because the client has disconnected. */
     boolean isCompleted() {
         return completed;
     }
@@ -75,12 +75,15 @@
         return !attempts.stream().allMatch(UpstreamCall::ended);
     }
 
-    /** Whether nothing can happen to the request any more. */
+    /** Whether the request is completed and all of its attempts have ended. */
     boolean isSettled() {
         return completed && !hasAttemptInFlight();
     }
 
-    /** The log line for a late response: its delay, and each attempt with times since the request was dispatched. */
+    /**
+     * The log line for a late response: how late it is, and each attempt with its times since the request was
+     * dispatched.
+     */
     String describeLateResponse(long nowMicros) {
         StringBuilder line = new StringBuilder("response_late request=")
                 .append(request.id())
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -3,18 +3,21 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
- * Makes the exchange of a received request: parses it and sets by when its response has to be written. Confined to the
- * event loop.
+ * Creates the exchange for a received request: parses the request and computes when its response has to be written.
+ * Confined to the event loop.
  */
 final class RequestExchangeFactory {
     /**
-     * A response is written at least this long before its client stops waiting. Where the event loop was recently later
-     * than that, the margin is as long as the loop was late, up to a quarter of the time that the client waits.
+     * The deadline is at least this long before the client stops waiting. If the event loop was recently later than
+     * this, the margin is as long as that lag. It is never more than a quarter of the time that the client waits.
      */
     private static final long MIN_RESPONSE_MARGIN_MICROS = 15_000;
 
     private static final int MAX_RESPONSE_MARGIN_DIVISOR = 4;
-    /** A wait in the backlog is an upper bound: at most half of the remaining time is deducted for it. */
+    /**
+     * The wait in the backlog is only known as an upper bound, so at most half of the remaining time is deducted for
+     * it.
+     */
     private static final int MAX_BACKLOG_WAIT_DIVISOR = 2;
 
     private final ReadTrackingEventLoop eventLoop;
@@ -22,7 +25,7 @@
     private final RequestDispatcher dispatcher;
     private final GracefulShutdown shutdown;
 
-    /** No deadline is later than the latest response of {@code shutdown}. */
+    /** Deadlines are never later than {@link GracefulShutdown#latestResponseMicros}. */
     RequestExchangeFactory(
             ReadTrackingEventLoop eventLoop,
             RequestParser parser,
@@ -34,6 +37,11 @@
         this.shutdown = shutdown;
     }
 
+    /**
+     * Creates the exchange.
+     *
+     * @throws InvalidRequestException if the request is invalid, or an open request has the same id
+     */
     RequestExchange create(ReceivedRequest received, ResponseHandler responseHandler) throws InvalidRequestException {
         ParsedRequest parsed = parser.parse(received.message());
         if (dispatcher.isOpen(parsed.id())) {
--- a/src/main/java/loadbalancer/proxy/client/RequestParser.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestParser.java
@@ -15,7 +15,7 @@
 
 /**
  * Checks the headers of an aggregated request against the protocol and reads them. A request that no endpoint could use
- * is rejected here: forwarded, it would look like the endpoint's own failure. Confined to the event loop; does not
+ * is rejected here, because forwarding it would make the endpoint look faulty. Confined to the event loop; does not
  * change or release the message.
  */
 final class RequestParser {
@@ -29,6 +29,7 @@
         this.classes = classes;
     }
 
+    /** @throws InvalidRequestException naming the first rule that the request violates */
     ParsedRequest parse(FullHttpRequest message) throws InvalidRequestException {
         HttpHeaders headers = message.headers();
         String id = requireId(headers);
@@ -44,12 +45,12 @@
                 routingKey(headers),
                 RETRY_VALUE.equals(headers.get(HeaderNames.RETRY)),
                 Math.max(0, HeaderValues.parseWholeNumber(singleToken(headers, HeaderNames.COST_HINT))),
-                // A longer time than the class allows would hold the request for as long.
+                // Otherwise a client could make the sidecar hold its request for days.
                 Math.min(remainingMicros, requestClass.deadlineMicros()),
                 payload(message));
     }
 
-    /** Returns the request's id; empty where it has none that is valid. */
+    /** Returns the request's id; empty if it has no valid one. */
     static String requestId(FullHttpRequest message) {
         return singleToken(message.headers(), HeaderNames.REQUEST_ID);
     }
@@ -72,7 +73,7 @@
         return remainingMillis * MICROS_PER_MILLI;
     }
 
-    /** The method follows from the class. */
+    /** The class determines the method: GET for an idempotent one, POST for any other. */
     private static void checkMethod(FullHttpRequest message, RequestClass requestClass) throws InvalidRequestException {
         boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         HttpMethod expected = idempotent ? HttpMethod.GET : HttpMethod.POST;
@@ -99,7 +100,10 @@
         }
     }
 
-    /** The only value of a header; empty where it is missing, repeated or no token: it could be read in two ways. */
+    /**
+     * Returns the value of a header that must occur once; empty if it is missing, repeated or not a token. A repeated
+     * header is ambiguous.
+     */
     private static String singleToken(HttpHeaders headers, String name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 && HeaderValues.isToken(values.get(0)) ? values.get(0) : "";
--- a/src/main/java/loadbalancer/proxy/client/RequestPayload.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestPayload.java
@@ -8,7 +8,7 @@
 import loadbalancer.proxy.protocol.HeaderNames;
 
 /**
- * What every attempt of a request passes on unchanged. {@code idempotencyKey} is null where the request carries none;
+ * The parts of a request that every attempt sends unchanged. {@code idempotencyKey} is null if the request has none;
  * {@code body} is a copy on the heap, shared by all attempts and never modified.
  */
 record RequestPayload(HttpMethod method, String uri, String idempotencyKey, byte[] body) {
@@ -17,7 +17,7 @@
     /**
      * Builds the message of one attempt.
      *
-     * @param remainingMicros how long the sidecar waits for the response; stated as 1 ms at least
+     * @param remainingMicros how long the sidecar waits for the response; sent in whole milliseconds, 1 at least
      */
     FullHttpRequest toHttpRequest(String requestId, long remainingMicros) {
         FullHttpRequest message =
--- a/src/main/java/loadbalancer/proxy/client/ResponseHandler.java
+++ b/src/main/java/loadbalancer/proxy/client/ResponseHandler.java
@@ -10,7 +10,10 @@
     /** An endpoint has served the request. The handler owns {@code body} and has to release it. */
     void onServed(ByteBuf body);
 
-    /** The request was rejected and nothing has run; {@code retryAfterMicros} is 0 where none is suggested. */
+    /**
+     * The request was rejected and nothing has run; {@code retryAfterMicros} is 0 if no {@code Retry-After} header is
+     * to be sent.
+     */
     void onRejected(long retryAfterMicros);
 
     /** The request failed; an attempt may have run. */
--- a/src/main/java/loadbalancer/proxy/client/package-info.java
+++ b/src/main/java/loadbalancer/proxy/client/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The side of the sidecar that clients see. It owns the listener, the connections of clients and the requests that they
- * have sent, each until its final response is written and its last attempt has ended. It passes requests and outcomes
- * to the load balancer and carries out the decisions on them; it decides nothing about a request by itself, except that
- * one that is invalid, overdue or hit by a fault gets an error.
+ * The client side of the sidecar. It owns the listener, the clients' connections, and each request until its final
+ * response is written and its last attempt has ended. It passes requests and outcomes to the load balancer and carries
+ * out its decisions. By itself it only gives error responses: to requests that are invalid, overdue or affected by a
+ * fault.
  *
  * <p>{@link loadbalancer.proxy.client.ClientServer} accepts connections and shuts down, {@code ClientConnection} keeps
  * the order of requests and responses on one of them, {@code RequestParser} checks what was received, and
