--- a/src/main/java/loadbalancer/proxy/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleConnections.java
@@ -7,7 +7,7 @@
 final class IdleConnections {
     private final ArrayDeque<UpstreamConnection> connections = new ArrayDeque<>();
 
-    /** Adds the connection that was used last. */
+    /** Adds the connection that was used most recently. */
     void add(UpstreamConnection connection) {
         connections.addFirst(connection);
     }
@@ -17,8 +17,9 @@
     }
 
     /**
-     * Takes the most recently used connection whose reuse delay is over, so that the others grow old enough to be
-     * closed; null where there is none. Unusable ones that come before it are closed.
+     * Removes and returns the most recently used connection whose reuse delay is over; null if there is none.
+     * Preferring the most recent lets surplus connections reach the idle timeout. Unusable connections found before it
+     * are closed.
      *
      * @param lastReadMicros when the last reading of all sockets began
      */
@@ -55,12 +56,12 @@
         }
     }
 
-    /** Since when the connection that was used least recently is idle; there must be one. */
+    /** When the least recently used connection became idle. Must not be called if there is none. */
     long oldestIdleSinceMicros() {
         return connections.peekLast().idleSinceMicros();
     }
 
-    /** Closes the connection that was used least recently; there must be one. */
+    /** Closes the least recently used connection. Must not be called if there is none. */
     void closeOldest() {
         connections.pollLast().close();
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
@@ -12,9 +12,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Puts responses together whose head states their length. Any other is rejected with a {@link CorruptedFrameException}:
- * one that ends with its connection can't be told from one cut short, and after a switch of protocols no response
- * follows. Belongs to one connection and its event loop.
+ * Aggregates responses whose headers determine where they end. Any other is rejected with a
+ * {@link CorruptedFrameException}: a response that ends when its connection closes can't be distinguished from a
+ * truncated one, and 101 (switching protocols) is followed by no response. Used by one connection, on its event loop.
  */
 final class ResponseAggregator extends HttpObjectAggregator {
     private boolean inProgress;
@@ -23,7 +23,7 @@
         super(maxBodyBytes);
     }
 
-    /** True from a response's head to its end. */
+    /** Whether a response has begun but not ended. */
     boolean inProgress() {
         return inProgress;
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
@@ -7,7 +7,10 @@
 import loadbalancer.proxy.protocol.HeaderNames;
 import loadbalancer.proxy.protocol.LoadReportParser;
 
-/** Ends a call with the outcome that its response stands for. Stateless; the caller keeps the response's buffer. */
+/**
+ * Determines the outcome of a call from its response and ends the call with it. Stateless; the caller still owns the
+ * response's buffer.
+ */
 final class ResponseClassifier {
     private static final String REJECTED_VALUE = "1";
 
@@ -17,11 +20,11 @@
         LoadReport loadReport = loadReport(call, response);
         AttemptOutcome outcome = outcome(response);
         if (call.isHealthCheck() && outcome == AttemptOutcome.OK && loadReport == null) {
-            // An unreadable report says neither how loaded the endpoint is nor that it sends none.
+            // Without this the load balancer could not distinguish an unreadable report from a missing one.
             outcome = AttemptOutcome.MALFORMED_RESPONSE;
         }
         if (!call.isWritten() && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
-            // No endpoint can respond to a request that it has not got: the response is another request's.
+            // No endpoint can respond to a request before it was sent, so this response belongs to another one.
             call.malformedResponse();
         } else {
             call.end(outcome, loadReport, outcome == AttemptOutcome.OK ? response.content() : null);
@@ -40,7 +43,7 @@
         return switch (status) {
             case 200 -> AttemptOutcome.OK;
             case 503, 504 -> isRejection(response) ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
-                // The client's fault: no other endpoint would accept the request either.
+                // Caused by the client: no other endpoint would accept the request either.
             default -> status >= 400 && status < 500 ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.ERROR;
         };
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.util.AsciiString;
 import loadbalancer.proxy.protocol.StrictFraming;
 
-/** Decodes responses under the rules of {@link StrictFraming}. Belongs to one connection and its event loop. */
+/** Decodes responses under the rules of {@link StrictFraming}. Used by one connection, on its event loop. */
 final class ResponseDecoder extends HttpResponseDecoder {
     ResponseDecoder() {
         super(StrictFraming.decoderConfig());
@@ -22,7 +22,7 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Whether bytes wait that no message has taken: a part of a response, or what follows one. */
+    /** Whether bytes were read that belong to no decoded message yet: the start of a response, or data after one. */
     boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseStallTimer.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseStallTimer.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * Notices a response that has begun and makes no progress any more. One that comes slowly, piece by piece, is left
- * alone. Belongs to one connection and its event loop.
+ * Detects a response that has begun but makes no progress for a time. A response that arrives slowly but steadily is
+ * not affected. Used by one connection, on its event loop.
  */
 final class ResponseStallTimer {
     private final long stallMicros;
@@ -18,6 +18,13 @@
     /** Null while no check is scheduled. */
     private Future<?> check;
 
+    /**
+     * Creates a timer that is not running.
+     *
+     * @param stallMicros the longest pause between two reads of one response
+     * @param responseIncomplete whether a response has begun and not ended; checked when the pause is over
+     * @param onStall called with the connection's context when a response stalls
+     */
     ResponseStallTimer(long stallMicros, BooleanSupplier responseIncomplete, Consumer<ChannelHandlerContext> onStall) {
         this.stallMicros = stallMicros;
         this.responseIncomplete = responseIncomplete;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -9,9 +9,10 @@
 import loadbalancer.decision.LoadReport;
 
 /**
- * One request to an endpoint, from its creation to its one outcome. Until its last byte is written a call has not run
- * for certain; most of the outcomes depend on that. Times are module times in microseconds. Owned by the event loop of
- * the {@link UpstreamConnectionPool} that it is started on.
+ * One request to an endpoint, from its creation to its one outcome. As long as its last byte is not written, it is
+ * certain that the endpoint has not run it; most outcomes depend on that. Times are in microseconds of the
+ * {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop of the {@link UpstreamConnectionPool}
+ * that it is started on.
  */
 public final class UpstreamCall {
     private enum Kind {
@@ -26,17 +27,17 @@
     private final UpstreamCallListener listener;
 
     private long sentMicros;
-    /** 0 where the end was not noted. */
+    /** 0 until the end is recorded; see {@link #noteEnd}. */
     private long endedMicros;
-    /** The endpoint as it was listed at the start. Null until then. */
+    /** The endpoint process that the call goes to; null until the call is started. */
     private UpstreamEndpoint target;
 
     private Future<?> timeout;
-    /** Null until a connection was chosen or dialed. */
+    /** Null until an idle connection is chosen or a new one is opened. */
     private Channel channel;
 
     private boolean written;
-    /** Null until the end. */
+    /** Null until the call has ended. */
     private AttemptOutcome outcome;
 
     private UpstreamCall(
@@ -53,9 +54,10 @@
     }
 
     /**
-     * A client's request, forwarded.
+     * Creates a call that forwards a client's request.
      *
-     * @param requestFactory makes the message when it is written, from the microseconds until the deadline
+     * @param requestFactory creates the message just before it is written; its argument is the microseconds left until
+     *     the deadline
      */
     public static UpstreamCall attempt(
             String endpoint,
@@ -65,7 +67,7 @@
         return new UpstreamCall(Kind.ATTEMPT, endpoint, deadlineMicros, requestFactory, listener);
     }
 
-    /** A request for the endpoint's load report, which is the body of the response. */
+    /** Creates a request for the endpoint's load report, which is the body of the response. */
     public static UpstreamCall healthCheck(
             String endpoint,
             long deadlineMicros,
@@ -84,17 +86,17 @@
         return sentMicros;
     }
 
-    /** When the end of the call was noted; 0 where nobody noted it. */
+    /** When the call ended; 0 until {@link #noteEnd} is called. */
     public long endedMicros() {
         return endedMicros;
     }
 
-    /** Notes the end for the log; the outcome does not depend on it. */
+    /** Records when the call ended. Only used in the log. */
     public void noteEnd(long timeMicros) {
         endedMicros = timeMicros;
     }
 
-    /** Whether the call has its outcome. */
+    /** Whether the call has ended, so that its outcome is known. */
     public boolean ended() {
         return outcome != null;
     }
@@ -104,19 +106,19 @@
         return outcome;
     }
 
-    /** Gives the call up; its connection is closed, so that a late response reaches nobody. */
+    /** Cancels the call and closes its connection, so that a late response can't be mistaken for another call's. */
     public void cancel() {
         abort(AttemptOutcome.CANCELLED);
     }
 
-    /** Gives the call up unless its request was written: it has not run, and now it never will. */
+    /** Ends the call as {@link AttemptOutcome#NOT_SENT} if its request is not written yet; otherwise has no effect. */
     public void withdraw() {
         if (!written) {
             abort(AttemptOutcome.NOT_SENT);
         }
     }
 
-    /** Ends a call that is not to be started at all. */
+    /** Ends a call as {@link AttemptOutcome#NOT_SENT} instead of starting it. */
     public void endUnsent(long nowMicros) {
         sentMicros = nowMicros;
         end(AttemptOutcome.NOT_SENT);
@@ -130,7 +132,7 @@
         return deadlineMicros;
     }
 
-    /** The message to send, made for the time that is left now. */
+    /** Creates the message to send, which states the time left until the deadline. */
     FullHttpRequest createRequest(long nowMicros) {
         return requestFactory.apply(deadlineMicros - nowMicros);
     }
@@ -145,7 +147,7 @@
         return target;
     }
 
-    /** From now on the call uses {@code connection}, which may still be coming up. */
+    /** Sets the connection that the call uses; it may not be established yet. */
     void useConnection(Channel connection) {
         channel = connection;
     }
@@ -165,7 +167,7 @@
         return written;
     }
 
-    /** Ends the call unless it has ended, and closes its connection. */
+    /** Closes the connection and ends the call; has no effect if the call has already ended. */
     void abort(AttemptOutcome abortOutcome) {
         if (!ended()) {
             closeConnection();
@@ -190,7 +192,10 @@
         end(finalOutcome, null, null);
     }
 
-    /** Ends the call unless it has ended. The listener may retain {@code body}; the caller releases it. */
+    /**
+     * Ends the call and notifies the listener; has no effect if the call has already ended. The caller releases
+     * {@code body}; the listener may retain it.
+     */
     void end(AttemptOutcome finalOutcome, LoadReport loadReport, ByteBuf body) {
         if (ended()) {
             return;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -13,14 +13,14 @@
 import loadbalancer.proxy.protocol.HeaderNames;
 
 /**
- * One connection to an endpoint, with one call at a time. It matches the response to the call and stays in use as long
- * as all that is read belongs to a call; with a byte more it is closed.
+ * One connection to an endpoint, which carries one call at a time and matches the response to it. It is closed as soon
+ * as anything is read that does not belong to the response of a call.
  *
- * <p>Owned by the event loop of its channel. A response is retained until it was delivered, and released then; a
- * listener that needs its body longer retains that.
+ * <p>Confined to the event loop of its channel. A response is retained until it has been delivered; a listener that
+ * needs the body for longer has to retain it.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    /** Gets a connection back after the response to its call, before the call ends. */
+    /** Called when a connection has delivered the response to its call and may be reused, just before the call ends. */
     @FunctionalInterface
     interface ReleaseListener {
         void release(UpstreamCall call, UpstreamConnection connection);
@@ -33,13 +33,13 @@
     private final ResponseDecoder decoder = new ResponseDecoder();
     private final ResponseAggregator aggregator = new ResponseAggregator(HeaderNames.MAX_RESPONSE_BODY_BYTES);
     private final ResponseStallTimer stallTimer;
-    /** Null while no call waits for its response. */
+    /** The call whose response is awaited; null if there is none. */
     private UpstreamCall call;
 
     private ReleaseListener releaseListener;
-    /** The response to the call, kept until all that was read with it has been looked at. */
+    /** The response to the call, kept until everything that was read together with it has been decoded. */
     private FullHttpResponse response;
-    /** Something was read that is no response to the call. */
+    /** Something was read that is not the response to the call. */
     private boolean malformed;
 
     private long idleSinceMicros;
@@ -50,7 +50,7 @@
         stallTimer = new ResponseStallTimer(stallMicros, this::hasPartialResponse, this::failMalformed);
     }
 
-    /** Gives a new channel its handlers. */
+    /** Creates the connection of a new channel and adds its handlers to the pipeline. */
     static UpstreamConnection install(Channel channel, long stallMicros) {
         UpstreamConnection connection = new UpstreamConnection(channel, stallMicros);
         channel.attr(ATTRIBUTE).set(connection);
@@ -58,7 +58,9 @@
         return connection;
     }
 
-    /** The connection of a channel that was installed, even of one that is closed and has lost its handlers. */
+    /**
+     * Returns the connection that was installed on a channel, even if the channel is closed and has lost its handlers.
+     */
     static UpstreamConnection of(Channel channel) {
         return channel.attr(ATTRIBUTE).get();
     }
@@ -71,16 +73,16 @@
         channel.close();
     }
 
-    /** What is read from now on is the response to {@code next}. */
+    /** Starts a call: what is read from now on is the response to {@code next}. */
     void begin(UpstreamCall next, ReleaseListener listener) {
         call = next;
         releaseListener = listener;
     }
 
     /**
-     * The connection is idle from now on.
+     * Marks the connection as idle.
      *
-     * @param reusableAtMicros the end of the reuse delay
+     * @param reusableAtMicros when the reuse delay ends
      */
     void becomeIdle(long nowMicros, long reusableAtMicros) {
         idleSinceMicros = nowMicros;
@@ -91,13 +93,14 @@
         return idleSinceMicros;
     }
 
-    /** Whether an idle connection may still carry a call, now or after its reuse delay. */
+    /** Whether an idle connection may be used for another call, now or once its reuse delay is over. */
     boolean isUsable(long nowMicros, long idleTimeoutMicros) {
         return channel.isActive() && !hasUnexpectedData() && nowMicros - idleSinceMicros < idleTimeoutMicros;
     }
 
     /**
-     * Whether the reuse delay is over and all that came during it has been read; a busy event loop reads late.
+     * Whether the reuse delay is over and everything that arrived during it has been read; a busy event loop reads
+     * late.
      *
      * @param lastReadMicros when the last reading of all sockets began
      */
@@ -105,7 +108,10 @@
         return lastReadMicros >= reusableFromMicros;
     }
 
-    /** Whether anything was read after the last response: a further response could be taken for that to a next call. */
+    /**
+     * Whether anything was read after the last response. It could be another response, which would be mistaken for that
+     * to the next call.
+     */
     private boolean hasUnexpectedData() {
         return malformed || response != null || hasPartialResponse();
     }
@@ -117,14 +123,17 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse received) {
         if (call == null || response != null || !received.decoderResult().isSuccess()) {
-            // Unsolicited, as a duplicate is, or no HTTP.
+            // An unsolicited response, such as a duplicate, or not HTTP.
             malformed = true;
         } else if (received.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
             response = received.retain();
         }
     }
 
-    /** Only when all of a read was decoded is it known whether something follows the response. */
+    /**
+     * The response is delivered here, because only after a whole read is decoded is it known whether anything follows
+     * it.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (response != null) {
@@ -153,7 +162,7 @@
         }
     }
 
-    /** Returns the call, or null, and waits for no response to it any more. */
+    /** Returns the call in progress, or null, and stops waiting for its response. */
     private UpstreamCall detachCall() {
         UpstreamCall detached = call;
         call = null;
@@ -180,7 +189,10 @@
         }
     }
 
-    /** A connection that broke is closed, which ends its call; anything else means that no response can be read. */
+    /**
+     * After an I/O error the connection is closed, which ends its call. Any other error means that the response is
+     * malformed.
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (response != null) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -15,20 +15,23 @@
 import loadbalancer.proxy.protocol.EndpointList;
 
 /**
- * Carries calls, attempts and health checks, on connections to the endpoints of the current list. An idle connection is
- * reused where its reuse delay is over, otherwise a new one is dialed within the limit of open connections. Each
- * connection carries one call at a time, and each call is written once at most.
+ * Sends calls (attempts and health checks) on connections to the endpoints of the current list. An idle connection is
+ * reused once its reuse delay is over; otherwise a new one is opened, within the limit of open connections. Each
+ * connection carries one call at a time, and each call is written at most once.
  *
  * <p>All methods and the listeners of calls run on the event loop that owns the pool and its connections.
  */
 public final class UpstreamConnectionPool {
     /**
-     * How long after its response a connection carries no further request: an endpoint that sends a response twice does
-     * so some milliseconds apart, and the second would be taken for the response to the next request.
+     * How long a connection is not reused after a response. An endpoint may send a response twice, some milliseconds
+     * apart; the second must not be mistaken for the response to the next request.
      */
     public static final long REUSE_DELAY_MICROS = 30_000;
 
-    /** Idle connections are closed this much before an endpoint may do so: no request can cross its closing. */
+    /**
+     * Idle connections are closed this long before the endpoint may close them, so that no request is sent on a
+     * connection that the endpoint is just closing.
+     */
     private static final long IDLE_MARGIN_MICROS = 2_000_000;
 
     private static final long SWEEP_INTERVAL_MILLIS = 1_000;
@@ -46,7 +49,7 @@
      * Starts a pool without endpoints.
      *
      * @param reuseDelayMicros {@link #REUSE_DELAY_MICROS}, or 0 to reuse connections at once
-     * @param maxConnections how many connections may be open at the moment, read before each dial
+     * @param maxConnections how many connections may be open at the moment; called before each new connection
      */
     public UpstreamConnectionPool(
             ReadTrackingEventLoop eventLoop,
@@ -67,14 +70,14 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** The idle timeout holds at once, the others for connections that are dialed from now on. */
+    /** The new idle timeout applies at once, the others only to connections that are opened from now on. */
     public void updateTimeouts(UpstreamTimeouts timeouts) {
         long idleMicros = timeouts.idleMicros();
         idleTimeoutMicros = Math.max(idleMicros / 2, idleMicros - IDLE_MARGIN_MICROS);
         connector.updateTimeouts(timeouts);
     }
 
-    /** Applies a list; idle connections to endpoints that drain, are removed or were restarted are closed. */
+    /** Applies an endpoint list. Idle connections to endpoints that are draining, removed or restarted are closed. */
     public void updateEndpoints(EndpointList list) {
         endpoints.update(list);
     }
@@ -83,17 +86,17 @@
         return endpoints.size();
     }
 
-    /** Whether any call could be sent. */
+    /** Whether at least one endpoint is ready. */
     public boolean hasReadyEndpoint() {
         return endpoints.hasReady();
     }
 
-    /** How many connections are open or coming up. */
+    /** How many connections are open or being opened. */
     public int openConnections() {
         return connector.openConnections();
     }
 
-    /** Closes the idle connections to one endpoint; connections in use stay, and so do those that come up. */
+    /** Closes the idle connections to one endpoint. Those in use or being opened are kept. */
     public void closeIdleConnections(String endpointId) {
         UpstreamEndpoint endpoint = endpoints.get(endpointId);
         if (endpoint != null) {
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Closes the connection that has been idle for longest; false where every connection is in use. */
+    /** Closes the connection that has been idle for longest. Returns false if there is no idle connection. */
     public boolean closeOldestIdleConnection() {
         IdleConnections oldest = null;
         for (UpstreamEndpoint endpoint : endpoints.all()) {
@@ -124,7 +127,7 @@
         }
     }
 
-    /** Starts a call. It ends at once where its endpoint is not ready, and otherwise by its deadline. */
+    /** Starts a call. It ends at once if its endpoint is not ready, otherwise at its deadline at the latest. */
     public void startCall(UpstreamCall call) {
         long now = clock.nowMicros();
         UpstreamEndpoint endpoint = endpoints.get(call.endpoint());
@@ -134,12 +137,13 @@
         }
         long timeoutMicros = call.deadlineMicros() - now;
         call.start(now, endpoint, loop.schedule(call::timedOut, timeoutMicros, TimeUnit.MICROSECONDS));
-        // What is read first may end the call, change its endpoint or close an idle connection.
+        // What is read before may end the call, change the state of its endpoint or close an idle connection.
         eventLoop.afterPendingReads(() -> assignConnection(call));
     }
 
     private void assignConnection(UpstreamCall call) {
-        if (!mayBeSent(call)) {
+        endIfNotSendable(call);
+        if (call.ended()) {
             return;
         }
         UpstreamConnection idle =
@@ -152,17 +156,13 @@
         }
     }
 
-    /** False where the call has ended, or ends here as its endpoint is no longer ready or its deadline has passed. */
-    private boolean mayBeSent(UpstreamCall call) {
-        if (call.ended()) {
-            return false;
-        }
+    /** Ends the call if its endpoint is no longer ready or its deadline has passed. */
+    private void endIfNotSendable(UpstreamCall call) {
         if (!call.target().isReady()) {
             call.abort(AttemptOutcome.NOT_SENT);
         } else if (clock.nowMicros() >= call.deadlineMicros()) {
             call.abort(AttemptOutcome.CONNECT_FAILED);
         }
-        return !call.ended();
     }
 
     private void connect(UpstreamCall call) {
@@ -185,7 +185,8 @@
     }
 
     private void writeIfStillWanted(UpstreamCall call, Channel channel) {
-        if (mayBeSent(call)) {
+        endIfNotSendable(call);
+        if (!call.ended()) {
             write(call, UpstreamConnection.of(channel));
         }
     }
@@ -206,7 +207,7 @@
         });
     }
 
-    /** A request that can't be encoded is its client's fault; either way the endpoint has not got it. */
+    /** A request that can't be encoded is invalid. In either case the endpoint has not received it. */
     private static AttemptOutcome writeFailure(Throwable cause) {
         return cause instanceof EncoderException ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.CONNECT_FAILED;
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
@@ -9,7 +9,10 @@
 import loadbalancer.proxy.eventloop.ClientBootstraps;
 import loadbalancer.proxy.observability.TrafficStatistics;
 
-/** Dials endpoints and counts the connections that are open or coming up. Owned by the event loop of the pool. */
+/**
+ * Opens connections to endpoints, and counts those that are open or being opened. Confined to the event loop of the
+ * pool.
+ */
 final class UpstreamConnector {
     /** Replaced by {@link #updateTimeouts} before the first connection. */
     private static final int INITIAL_CONNECT_TIMEOUT_MILLIS = 1;
@@ -29,7 +32,7 @@
                 loop, INITIAL_CONNECT_TIMEOUT_MILLIS, channel -> UpstreamConnection.install(channel, stallMicros));
     }
 
-    /** Holds for connections that are dialed from now on. */
+    /** Applies to connections that are opened from now on. */
     void updateTimeouts(UpstreamTimeouts timeouts) {
         stallMicros = timeouts.stallMicros();
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeouts.connectMicros() / 1000));
@@ -39,6 +42,7 @@
         return openConnections;
     }
 
+    /** Whether one more connection may be opened. */
     boolean hasRoom() {
         return openConnections < maxConnections.getAsInt();
     }
@@ -51,7 +55,7 @@
             if (connected.isSuccess()) {
                 connecting.channel().closeFuture().addListener(closed -> openConnections--);
             } else {
-                // A socket that could not be opened, for want of descriptors, is never closed either.
+                // The close future may never complete here: without a free descriptor there is no socket to close.
                 openConnections--;
             }
         });
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -5,8 +5,9 @@
 import loadbalancer.proxy.protocol.EndpointList;
 
 /**
- * One process behind an endpoint's id, as the list has it now, and the idle connections to it. Another address or start
- * time under the same id is another process. Calls keep a reference: one that is no longer listed stays removed.
+ * One process that an endpoint id stands for, with its state in the current list and the idle connections to it. The
+ * same id with another address or start time is another process. Calls keep a reference to the process that they were
+ * started for; once it is removed from the list, it stays removed. Confined to the event loop of the pool.
  */
 final class UpstreamEndpoint {
     private final InetSocketAddress address;
@@ -37,7 +38,7 @@
         return idleConnections;
     }
 
-    /** Idle connections are closed once the endpoint takes no new requests. */
+    /** Sets the state. Idle connections are closed if the endpoint takes no new requests. */
     void updateState(EndpointState newState) {
         state = newState;
         if (newState != EndpointState.READY) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoints.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoints.java
@@ -8,7 +8,7 @@
 import loadbalancer.decision.EndpointState;
 import loadbalancer.proxy.protocol.EndpointList;
 
-/** The endpoints of the lists so far by their ids. Owned by the event loop of the pool. */
+/** The endpoints of the current list, by id. Confined to the event loop of the pool. */
 final class UpstreamEndpoints {
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
 
@@ -33,7 +33,7 @@
         }
         endpoint.updateState(entry.endpoint().state());
         if (entry.endpoint().state() == EndpointState.REMOVED) {
-            // Successors come under new ids: kept, removed endpoints would pile up.
+            // Replacements come under new ids, so removed endpoints would accumulate if they were kept.
             endpoints.remove(id);
         }
     }
@@ -52,7 +52,7 @@
         });
     }
 
-    /** Null where no such endpoint is known. */
+    /** Returns null if no such endpoint is known. */
     UpstreamEndpoint get(String id) {
         return endpoints.get(id);
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamTimeouts.java
@@ -1,10 +1,10 @@
 package loadbalancer.proxy.upstream;
 
 /**
- * Time limits of connections to endpoints.
+ * Time limits of connections to endpoints, in microseconds.
  *
- * @param idleMicros after which an endpoint may close an idle connection
- * @param connectMicros for a connection to come up
- * @param stallMicros a response that has begun and then makes no progress for this long is malformed
+ * @param idleMicros how long a connection is idle before its endpoint may close it
+ * @param connectMicros how long opening a connection may take
+ * @param stallMicros how long a response that has begun may make no progress before it counts as malformed
  */
 public record UpstreamTimeouts(long idleMicros, long connectMicros, long stallMicros) {}
