--- a/src/main/java/loadbalancer/proxy/discovery/CallFailure.java
+++ b/src/main/java/loadbalancer/proxy/discovery/CallFailure.java
@@ -1,12 +1,12 @@
 package loadbalancer.proxy.discovery;
 
-/** Why a call to discovery has failed. */
+/** Why a call to discovery failed. */
 enum CallFailure {
     TIMEOUT("timeout"),
     CONNECT_FAILED("connect_failed"),
     CONNECTION_CLOSED("connection_closed"),
     UNEXPECTED_STATUS("unexpected_status"),
-    /** The body is no endpoint list, or one that can't follow the list known so far. */
+    /** The body is not an endpoint list, or is a delta that does not continue the known list. */
     MALFORMED_LIST("malformed_list");
 
     private final String logName;
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -23,30 +23,30 @@
 
 /**
  * Fetches endpoint lists over one keep-alive connection, one call at a time. All methods and callbacks run on the event
- * loop that owns the connection. Response buffers are released here, after they were parsed.
+ * loop that owns the connection. Response buffers are released here after parsing.
  */
 final class DiscoveryClient {
-    /** Called once for each call that is not cancelled. A further call may be started from it. */
+    /** Called exactly once for each call that is not cancelled. It may start the next call. */
     interface Listener {
         void onResponse(EndpointList list);
 
-        /** {@code detail} says more than the kind of failure, or is empty; the connection is closed. */
+        /** The call failed and its connection is closed. {@code detail} is a key and value for the log, or empty. */
         void onFailure(CallFailure failure, String detail);
     }
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    /** Room for a list of some thousand endpoints. */
+    /** Enough for a list of several thousand endpoints. */
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Listener listener;
-    /** Null before the first call and after the connection was given up. */
+    /** Null before the first call and after the connection was closed here. */
     private Channel channel;
-    /** Null while no call is in flight. Events of any other call are stale. */
+    /** The call in flight, or null. Events of any other call are outdated and ignored. */
     private Call inFlight;
 
-    /** A call, known by its identity. */
+    /** One call. Compared by identity, to recognize events of earlier calls. */
     private static final class Call {
         final String target;
         Future<?> timeout;
@@ -66,7 +66,7 @@
         return inFlight != null;
     }
 
-    /** Starts a call; none may be in flight. {@code address} holds where a connection has to be opened. */
+    /** Starts a call; none may be in flight. {@code address} is used only if a new connection has to be opened. */
     void fetch(InetSocketAddress address, String target, long timeoutMillis) {
         Call call = new Call(target);
         inFlight = call;
@@ -126,7 +126,7 @@
             return;
         }
         finishCall();
-        // A late response on this connection must not be taken for the one to the next call.
+        // A late response on this connection must not be mistaken for the response to the next call.
         closeConnection();
         listener.onFailure(failure, detail);
     }
@@ -151,7 +151,7 @@
         listener.onResponse(list);
     }
 
-    /** Passes on what belongs to the call in flight; a response to no call ends its connection. */
+    /** Handles what belongs to the call in flight. A response without a call closes its connection. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -13,22 +13,26 @@
 import loadbalancer.proxy.protocol.EndpointList;
 
 /**
- * Watches discovery: one call after the other, without a gap. Changes count as delivered even while no watch is up, so
- * one that fails is started again at once, and the first call does not wait for a change. Each list goes to the
- * listener first and then to the decision module. A failed call leaves the known list in force; with
- * {@link DiscoveryMode#POLLED} the module is notified of it and decides when to poll again.
+ * Watches discovery: one call after the other, without a gap. By the protocol, a change counts as known to the sidecar
+ * even if no call was open when it happened. So a call that fails is repeated at once, and the first call does not wait
+ * for a change. Each list goes to the listener first and then to the load balancer. A failed call leaves the known list
+ * in force; with {@link DiscoveryMode#POLLED} the load balancer is notified of the failure and decides when to poll
+ * again.
  *
  * <p>All methods run on the event loop that owns the watch.
  */
 public final class DiscoveryWatch {
-    /** The configuration of a watch at the start. {@code generation} is that of the list known by then. */
+    /** The configuration of a watch at the start. {@code generation} is that of the list known at that time. */
     public record Options(InetSocketAddress address, long generation, DiscoveryMode mode, WatchTimeouts timeouts) {}
 
-    /** Keeps a service that answers at once from being called without pause; a watch may pause for 200 ms. */
+    /**
+     * The shortest time from the start of a successful call to the next call, so that a service that always answers at
+     * once is not called continuously. The protocol allows a pause of up to 200 ms.
+     */
     private static final long MIN_CALL_INTERVAL_MILLIS = 50;
 
     private static final long INITIAL_BACKOFF_MICROS = 25_000;
-    /** A small part of the time that drained endpoints go on serving after a notification. */
+    /** Short compared with the time for which draining endpoints go on serving. */
     private static final long MAX_BACKOFF_MICROS = 100_000;
 
     private final EventLoop loop;
@@ -41,7 +45,9 @@
     private final EndpointListCursor cursor;
     private final DiscoveryClient client;
     private InetSocketAddress address;
-    /** The decision module has polled and is to be notified of the next response, also of one without changes. */
+    /**
+     * Whether the load balancer has polled, so that it must be notified of the next response even if nothing changed.
+     */
     private boolean pollPending;
 
     private boolean stopped;
@@ -51,8 +57,8 @@
      * Creates a watch that is idle until {@link #start} or {@link #poll}.
      *
      * @param loop owns this object; all of its methods are called there
-     * @param listener gets each list before the decision module does
-     * @param backoff pauses after failed calls
+     * @param listener gets each list before the load balancer does
+     * @param backoff determines the pauses after failed calls
      */
     public DiscoveryWatch(
             EventLoop loop,
@@ -73,25 +79,25 @@
         client = new DiscoveryClient(loop, new CallListener());
     }
 
-    /** A backoff with random jitter for one watch. */
+    /** Creates the backoff of one watch, with random jitter. */
     public static ExponentialBackoff defaultBackoff() {
         return new ExponentialBackoff(INITIAL_BACKOFF_MICROS, MAX_BACKOFF_MICROS, bound -> ThreadLocalRandom.current()
                 .nextLong(bound));
     }
 
-    /** Starts the watch where lists are pushed; otherwise the first {@link #poll} does. */
+    /** Starts the watch with {@link DiscoveryMode#PUSHED}; otherwise the first {@link #poll} starts it. */
     public void start() {
         if (mode == DiscoveryMode.PUSHED) {
             poll();
         }
     }
 
-    /** True once the list is as recent as can be had: the first call was answered or has failed. */
+    /** Whether the first call has been answered or has failed, so that the list is as recent as possible. */
     public boolean hasSynced() {
         return cursor.callCompleted();
     }
 
-    /** Starts a call unless one is in flight, whose response then counts as that to this poll. */
+    /** Starts a call. If one is already in flight, its response also answers this poll. */
     public void poll() {
         pollPending = mode == DiscoveryMode.POLLED;
         startCallIfIdle();
@@ -99,7 +105,7 @@
 
     /**
      * Watches the service at {@code newAddress} from now on, beginning with a full snapshot. A call in flight to the
-     * previous one is cancelled and does not count as failed: nobody waits out a backoff for it.
+     * previous address is cancelled; this does not count as a failure, so no backoff follows.
      */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -148,7 +154,7 @@
         }
     }
 
-    /** The module is not called for a delta without changes unless it has polled for one. */
+    /** Notifies the load balancer of a list, except of a delta without changes that it has not polled for. */
     private void notifyModule(EndpointList list) {
         if (!pollPending && !list.fullSnapshot() && list.entries().isEmpty()) {
             return;
@@ -182,7 +188,7 @@
             return;
         }
         pollPending = false;
-        // Polling again is up to the module; where the module itself fails nobody else would.
+        // The load balancer decides when to poll again. If it throws instead, the watch has to go on by itself.
         decisions.submit(
                 "endpoint_list_failed",
                 module -> module.onEndpointList(clock.nowMicros(), EndpointListType.FAILED, List.of()),
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
@@ -3,16 +3,22 @@
 import loadbalancer.proxy.protocol.EndpointList;
 
 /**
- * The place in discovery's sequence of lists: which generation is known and what the next call has to fetch. Does no
- * input or output; owned by the event loop of its {@link DiscoveryWatch}.
+ * The position in discovery's sequence of lists: which generation is known and what the next call has to fetch. Does no
+ * input or output. Confined to the event loop of its {@link DiscoveryWatch}.
  */
 final class EndpointListCursor {
     private static final String PATH = "/registry/instances";
 
     private long generation;
-    /** The known generation can't be continued: a malformed list came, or the service was replaced. */
+    /**
+     * Whether deltas to the known generation are no longer usable, because a list was malformed or the service was
+     * replaced.
+     */
     private boolean fullSnapshotRequired;
-    /** A call has been answered or has failed, so the list of the configuration is as recent as can be had. */
+    /**
+     * Whether any call has been answered or has failed. Until then the list may be the configuration's, which may be
+     * outdated.
+     */
     private boolean callCompleted;
 
     EndpointListCursor(long generation) {
@@ -23,7 +29,10 @@
         return callCompleted;
     }
 
-    /** Whether the next call is a long poll; a full snapshot and the changes since the start come at once. */
+    /**
+     * Whether discovery may delay the response to the next call until there is a change. The first call and those for a
+     * full snapshot are answered at once.
+     */
     boolean nextCallIsLongPoll() {
         return callCompleted && !fullSnapshotRequired;
     }
@@ -37,8 +46,8 @@
     }
 
     /**
-     * Whether {@code list} may be applied to the one known. An empty full snapshot may not, as it would end all
-     * service.
+     * Whether {@code list} may be applied. An empty full snapshot is refused, as it would leave no endpoint to serve
+     * requests, and so is a delta that does not continue the known list.
      */
     boolean accepts(EndpointList list) {
         if (list.fullSnapshot()) {
@@ -60,7 +69,7 @@
         }
     }
 
-    /** Generations of another service need not continue these. */
+    /** The generations of another service may be unrelated to those known. */
     void serviceReplaced() {
         fullSnapshotRequired = true;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListListener.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListListener.java
@@ -2,9 +2,9 @@
 
 import loadbalancer.proxy.protocol.EndpointList;
 
-/** Receives each list that discovery sends, on the event loop, before the decision module does. */
+/** Receives each accepted list on the event loop, before the load balancer does. */
 @FunctionalInterface
 public interface EndpointListListener {
-    /** A full snapshot, which is never empty, or a delta, which may be. */
+    /** Called with each accepted list: a full snapshot, which is never empty, or a delta, which may be empty. */
     void onEndpointList(EndpointList list);
 }
--- a/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
+++ b/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
@@ -3,17 +3,17 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * The pause after a failed call: none after the first failure, as discovery keeps counting changes as delivered while
- * no watch is up; then one that doubles up to a maximum, with jitter, as all sidecars see a service fail together. Not
- * thread-safe.
+ * The pause after a failed call. There is none after the first failure, because the sidecar is expected to know changes
+ * even while no call is open. From the second on it doubles up to a maximum, with jitter, because all sidecars see a
+ * service fail at the same time. Not thread-safe.
  */
 public final class ExponentialBackoff {
-    /** Doubling more often than this would overflow; the maximum is reached long before. */
+    /** Prevents an overflow; the maximum pause is reached long before. */
     private static final int MAX_DOUBLINGS = 20;
 
     private final long initialMicros;
     private final long maxMicros;
-    /** A random number from 0 up to, not including, its argument. */
+    /** Returns a random number from 0 (inclusive) to its argument (exclusive). */
     private final LongUnaryOperator random;
 
     private int failures;
--- a/src/main/java/loadbalancer/proxy/observability/NettyLogger.java
+++ b/src/main/java/loadbalancer/proxy/observability/NettyLogger.java
@@ -5,8 +5,8 @@
 import io.netty.util.internal.logging.MessageFormatter;
 
 /**
- * A logger of Netty that writes warnings and errors to {@link SidecarLog} and discards all below. The number of methods
- * is that of Netty's interface, which has no common method for its levels to override.
+ * A Netty logger that writes warnings and errors to {@link SidecarLog} and discards all other levels. It has to
+ * override every method of Netty's interface, as there is no common method for all levels. Thread-safe.
  */
 final class NettyLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
+++ b/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
@@ -3,10 +3,10 @@
 import java.util.ArrayDeque;
 
 /**
- * The log of the process on standard error: one line for each event that an operator should know of, in the form
- * {@code event_name key=value ...}, and none for a single request. Thread-safe. No caller ever blocks: a daemon thread
- * writes, as a write blocks while nobody reads the other end of the pipe. Lines beyond {@link #MAX_PENDING} are dropped
- * and counted in a line of their own.
+ * The log of the process on standard error: one line for each event that an operator should know about, in the form
+ * {@code event_name key=value ...}. Ordinary requests are not logged. Thread-safe. Logging never blocks the caller: a
+ * daemon thread writes the lines, because a write to a pipe blocks while its reader does not read. If more than
+ * {@link #MAX_PENDING} lines are waiting, further ones are dropped; a line of its own states how many.
  */
 public final class SidecarLog {
     static final int MAX_PENDING = 1_024;
@@ -18,7 +18,7 @@
     private static final Object LOCK = new Object();
     private static final ArrayDeque<String> PENDING = new ArrayDeque<>();
     private static long dropped;
-    /** Whether the writer has taken a line and not yet written it. */
+    /** Whether the writer has taken a line that is not written yet. */
     private static boolean writing;
 
     static {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Logs {@code event} with the failure behind it and the innermost frames of its stack. */
+    /** Logs {@code event} with the failure that caused it and the innermost frames of its stack trace. */
     public static void error(String event, Throwable failure) {
         StringBuilder line = new StringBuilder(event).append(" error=").append(quote(failure));
         StackTraceElement[] frames = failure.getStackTrace();
@@ -51,12 +51,17 @@
         info(line.toString());
     }
 
-    /** The value as one quoted word of a line: its own quotation marks and line breaks are replaced. */
+    /**
+     * Puts a value into quotation marks, for use in a log line. Quotation marks and line breaks inside it are replaced.
+     */
     public static String quote(Object value) {
         return '"' + String.valueOf(value).replace('"', '\'').replace('\n', ' ').replace('\r', ' ') + '"';
     }
 
-    /** Blocks until all lines are written, but no longer than half a second: nobody may be reading them. */
+    /**
+     * Blocks until all lines are written, but for half a second at most, as the reader of the log may have stopped
+     * reading.
+     */
     public static void flush() throws InterruptedException {
         long deadlineNanos = System.nanoTime() + FLUSH_TIMEOUT_MILLIS * 1_000_000;
         synchronized (LOCK) {
@@ -79,7 +84,7 @@
         }
     }
 
-    /** Blocks until there is a line to write, and reports the previous one as written. */
+    /** Marks the previous line as written, then blocks until there is another one and returns it. */
     private static String nextLine() throws InterruptedException {
         synchronized (LOCK) {
             writing = false;
--- a/src/main/java/loadbalancer/proxy/observability/StartupTimer.java
+++ b/src/main/java/loadbalancer/proxy/observability/StartupTimer.java
@@ -5,26 +5,32 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Measures the phases of a start: elapsed time and processor time of the process. Without Linux' {@code proc} file
- * system all processor times are 0.
+ * Measures elapsed time and processor time of each phase of the start. Processor times are those of the whole process;
+ * they are 0 if there is no {@code /proc} file system. Not thread-safe: used by the thread that starts the sidecar.
  */
 public final class StartupTimer {
     private static final String PROCESS_STATISTICS = "/proc/self/stat";
-    /** Index of {@code utime} behind the process name; {@code stime} follows. See {@code proc(5)}. */
+    /**
+     * Index of {@code utime} among the fields after the process name; {@code stime} follows it. See {@code proc(5)}.
+     */
     private static final int USER_TIME_FIELD = 11;
 
+    /** The unit of these fields on Linux, {@code 1/sysconf(_SC_CLK_TCK)} seconds. */
     private static final int CLOCK_TICK_MILLIS = 10;
 
     private final StringBuilder phases = new StringBuilder();
     private long phaseStartNanos = System.nanoTime();
     private long phaseStartCpuMillis = processCpuMillis();
 
-    /** Begins the first phase. What the process has used so far is reported as that of the Java virtual machine. */
+    /** Begins the first phase. The processor time used so far is reported as {@code jvm_cpu_millis}. */
     public StartupTimer() {
         phases.append("jvm_cpu_millis=").append(phaseStartCpuMillis);
     }
 
-    /** Ends a phase and begins the next; {@code phase} is the prefix of its keys, in lower snake case. */
+    /**
+     * Ends a phase and begins the next. {@code phase} names the ended one, in lower snake case, and is the prefix of
+     * its keys.
+     */
     public void phaseCompleted(String phase) {
         long nowNanos = System.nanoTime();
         long nowCpuMillis = processCpuMillis();
@@ -40,7 +46,7 @@
         phaseStartCpuMillis = nowCpuMillis;
     }
 
-    /** The phases as keys and values for a line of the log. */
+    /** Returns the phases as keys and values for a log line. */
     public String summary() {
         return phases.toString();
     }
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -5,10 +5,10 @@
 import java.util.TreeMap;
 import loadbalancer.decision.AttemptOutcome;
 
-/** Counts of the traffic since the previous totals in the log. Not thread-safe: belongs to the event loop. */
+/** Counts the traffic since the previous {@code totals} line of the log. Confined to the event loop. */
 public final class TrafficStatistics {
     private final Map<AttemptOutcome, Integer> attemptOutcomes = new EnumMap<>(AttemptOutcome.class);
-    /** By request class: the sum can look well while one class is hardly served. */
+    /** Counted by request class, because the sum can look good while one class is hardly served. */
     private final Map<String, ClassCounts> requestClasses = new TreeMap<>();
 
     private int failed;
@@ -30,7 +30,7 @@
         return requestClasses.computeIfAbsent(requestClass, name -> new ClassCounts());
     }
 
-    /** A request was read from a client. */
+    /** A valid request was received from a client. */
     public void requestAccepted(String requestClass) {
         countsOf(requestClass).accepted++;
     }
@@ -45,12 +45,12 @@
         countsOf(requestClass).rejected++;
     }
 
-    /** A request was answered without that promise. */
+    /** A request was answered with an error, and an attempt may have run. */
     public void requestFailed() {
         failed++;
     }
 
-    /** A client closed its connection before the answer. */
+    /** A client closed its connection before its request was answered. */
     public void clientDisconnected() {
         disconnected++;
     }
@@ -62,7 +62,7 @@
         maxQueuedMicros = Math.max(maxQueuedMicros, queuedMicros);
     }
 
-    /** An attempt has its outcome. */
+    /** An attempt has ended. */
     public void attemptCompleted(AttemptOutcome outcome) {
         attemptOutcomes.merge(outcome, 1, Integer::sum);
     }
@@ -72,17 +72,17 @@
         clientConnectionsAccepted++;
     }
 
-    /** A connection to an upstream was initiated. */
+    /** A connection to an endpoint was begun, whether or not it gets established. */
     public void upstreamConnectionOpened() {
         upstreamConnectionsOpened++;
     }
 
-    /** The event loop was late by this much: every answer of that time is. */
+    /** The event loop was late by this much, and so was every response during that time. */
     public void eventLoopLag(long lagMicros) {
         maxLagMicros = Math.max(maxLagMicros, lagMicros);
     }
 
-    /** One line of the log with all counts, which are then reset; null where there was no traffic. */
+    /** Returns a log line with all counts and resets them; null if there was no traffic. */
     public String summarizeAndReset(int openRequests, int clientConnections, int upstreamConnections) {
         if (requestClasses.isEmpty() && clientConnectionsAccepted + upstreamConnectionsOpened + openRequests == 0) {
             maxLagMicros = 0;
--- a/src/main/java/loadbalancer/proxy/observability/package-info.java
+++ b/src/main/java/loadbalancer/proxy/observability/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the serving process reports to its operator: the log, the totals of the traffic, and where the time of a start
- * goes. Owns the thread that writes the log; never blocks the event loop, and knows no other package of the proxy.
+ * What the serving process reports to its operator: the log, the traffic totals, and the duration of the phases of the
+ * start. Owns the thread that writes the log. Never blocks the event loop, and uses no other package of the proxy.
  */
 package loadbalancer.proxy.observability;
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -10,20 +10,21 @@
 import loadbalancer.decision.EndpointState;
 
 /**
- * An endpoint list in the form of discovery and of the configuration file.
+ * An endpoint list, as discovery sends it and the configuration file contains it.
  *
- * @param fullSnapshot true where every endpoint is listed, false for a delta, which lists those that changed
+ * @param generation the version of the list, which grows with each change
+ * @param fullSnapshot true if every endpoint is listed; false for a delta, which lists only those that changed
  */
 public record EndpointList(long generation, boolean fullSnapshot, List<Entry> entries) {
     private static final int NO_CELL = -1;
     private static final double DEFAULT_WEIGHT = 1;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** One endpoint and the address that it listens on. */
+    /** An endpoint and the address that it listens on. */
     public record Entry(Endpoint endpoint, InetSocketAddress address) {}
 
     /**
-     * Reads a list from its text.
+     * Reads a list from JSON text in UTF-8.
      *
      * @throws MalformedEndpointListException where it is none
      */
@@ -36,7 +37,7 @@
     }
 
     /**
-     * Reads a list that stands inside another object.
+     * Reads a list from a JSON object.
      *
      * @throws MalformedEndpointListException where it is none
      */
@@ -57,7 +58,7 @@
     }
 
     private static Endpoint readEndpoint(JsonObject instance) {
-        // Start times are Unix times on the wire and in the decision module alike; only the unit differs.
+        // Start times are Unix times both on the wire and in the load balancer; only the unit differs.
         return new Endpoint(
                 instance.text("instanceId"),
                 instance.textOr("zone", ""),
@@ -78,9 +79,9 @@
     }
 
     /**
-     * Reads an address of numbers, {@code host:port}. Names are not resolved, as a look-up would block.
+     * Reads a numeric address, {@code host:port}. Host names are not resolved, because a lookup would block.
      *
-     * @throws IllegalArgumentException where the text is no such address
+     * @throws IllegalArgumentException if the text is not such an address
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
+++ b/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.protocol;
 
 /**
- * Checks and reads single header values and request targets, character by character: this is done for every request,
- * also in the first seconds of a process, when a regular expression of the same meaning takes many times as long.
+ * Checks and reads header values and request targets. Works character by character because it runs for every request,
+ * also in the first seconds of the process, when an equivalent regular expression would be many times slower.
  * Stateless.
  */
 public final class HeaderValues {
@@ -13,12 +13,12 @@
 
     private HeaderValues() {}
 
-    /** One to 128 visible ASCII characters. */
+    /** Whether {@code text} consists of one to 128 visible ASCII characters. */
     public static boolean isToken(String text) {
         return !text.isEmpty() && text.length() <= MAX_TOKEN_LENGTH && isVisibleAscii(text);
     }
 
-    /** A path that begins with a slash, of visible ASCII characters, 4,096 at most. */
+    /** Whether {@code text} begins with a slash and consists of at most 4,096 visible ASCII characters. */
     public static boolean isRequestTarget(String text) {
         return text.startsWith("/") && text.length() <= MAX_TARGET_LENGTH && isVisibleAscii(text);
     }
@@ -33,7 +33,7 @@
         return true;
     }
 
-    /** A whole number of one to nine digits; -1 where there is none. */
+    /** Reads a whole number of one to nine digits. Returns -1 if {@code text} is anything else. */
     public static long parseWholeNumber(String text) {
         if (text.isEmpty() || text.length() > MAX_DECIMAL_DIGITS) {
             return -1;
@@ -49,7 +49,7 @@
         return value;
     }
 
-    /** One to sixteen hexadecimal digits as their number, any other text as its hash. */
+    /** Returns the number that one to sixteen hexadecimal digits stand for, or the hash code of any other text. */
     public static long parseHexOrHash(String text) {
         if (text.isEmpty() || text.length() > MAX_HEX_DIGITS) {
             return text.hashCode();
@@ -63,13 +63,13 @@
         return Long.parseUnsignedLong(text, 16);
     }
 
-    /** A request's path: its target up to the question mark. */
+    /** Returns the path of a request target: everything before the question mark. */
     public static String path(String target) {
         int question = target.indexOf('?');
         return question < 0 ? target : target.substring(0, question);
     }
 
-    /** Seconds with three decimals, as {@code Retry-After} is written here. */
+    /** Formats a time as seconds with three decimals, which is the form of {@code Retry-After} in this protocol. */
     public static String formatSeconds(long micros) {
         long millis = (micros + 500) / 1000;
         String decimals = Long.toString(1000 + millis % 1000).substring(1);
--- a/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * A JSON object that is read field by field. Fields that nobody reads are ignored, and {@code null} counts as absent.
- * Each method that reads a field throws a {@link MalformedJsonException} that names it where the field is of another
- * kind, or absent without a default. Immutable.
+ * A JSON object that is read field by field. Unknown fields are ignored, and {@code null} counts as absent. Each method
+ * that reads a field throws a {@link MalformedJsonException} that names the field if its value is of another kind, or
+ * if it is absent and there is no default. Immutable.
  */
 public final class JsonObject {
     private final Map<String, Object> fields;
@@ -20,38 +20,38 @@
     /**
      * Reads one object from text in UTF-8.
      *
-     * @throws MalformedJsonException where the text is no object
+     * @throws MalformedJsonException if the text is not a JSON object
      */
     public static JsonObject parse(byte[] text) {
         return new JsonObject(JsonReader.readObject(text));
     }
 
-    /** Whether there is a field of this name, of any kind but {@code null}. */
+    /** Whether there is a field of this name whose value is not {@code null}. */
     public boolean has(String name) {
         return fields.get(name) != null;
     }
 
-    /** A required text. */
+    /** A required string. */
     public String text(String name) {
         return field(name, String.class, "a text");
     }
 
-    /** A text, or the default where it is absent. */
+    /** A string, or the default if it is absent. */
     public String textOr(String name, String defaultValue) {
         return has(name) ? text(name) : defaultValue;
     }
 
-    /** A required number; decimals are cut off. */
+    /** A required number, without its fraction. */
     long number(String name) {
         return field(name, Number.class, "a number").longValue();
     }
 
-    /** A number without its decimals, or the default where it is absent. */
+    /** A number without its fraction, or the default if it is absent. */
     public long numberOr(String name, long defaultValue) {
         return has(name) ? number(name) : defaultValue;
     }
 
-    /** A number with its decimals, or the default where it is absent. */
+    /** A number with its fraction, or the default if it is absent. */
     double realOr(String name, double defaultValue) {
         return has(name) ? field(name, Number.class, "a number").doubleValue() : defaultValue;
     }
@@ -80,7 +80,7 @@
         return objects;
     }
 
-    /** The elements of a list as texts; none where it is absent. */
+    /** The elements of a list as strings; empty if the list is absent. */
     public List<String> textsOrNone(String name) {
         List<String> texts = new ArrayList<>();
         if (has(name)) {
@@ -107,8 +107,9 @@
     }
 
     /**
-     * All values by their paths: {@code a.b} for a field in an object, {@code a.0.b} and {@code a.count} for a list of
-     * objects, one text with commas for a list of plain values.
+     * Returns all values by their paths. The path of a field in an object is {@code a.b}. A list of objects has paths
+     * such as {@code a.0.b}, and {@code a.count} for its length. A list of plain values becomes one string, joined by
+     * commas.
      */
     public Map<String, String> flat() {
         Map<String, String> values = new TreeMap<>();
--- a/src/main/java/loadbalancer/proxy/protocol/JsonReader.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonReader.java
@@ -9,13 +9,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON text into maps, lists, strings, numbers, booleans and nulls. The parser bounds the depth of nesting. */
+/**
+ * Reads JSON text into maps, lists, strings, numbers, booleans and nulls. The parser limits the nesting depth.
+ * Stateless.
+ */
 final class JsonReader {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private JsonReader() {}
 
-    /** The fields of one object; anything else is a {@link MalformedJsonException}. */
+    /**
+     * Reads the fields of one object.
+     *
+     * @throws MalformedJsonException if the text is anything else
+     */
     static Map<String, Object> readObject(byte[] text) {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -49,7 +56,7 @@
         return elements;
     }
 
-    /** The value that begins with the parser's current token. */
+    /** Reads the value that begins with the parser's current token. */
     private static Object readValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_OBJECT -> readFields(parser);
--- a/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
+++ b/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
@@ -3,15 +3,15 @@
 import loadbalancer.decision.LoadReport;
 import loadbalancer.input.LoadReportFields;
 
-/** Reads a load report of the form {@code TEXT inflight=7, queue=2, util=0.61}. */
+/** Reads a load report of the form {@code TEXT inflight=7, queue=2, util=0.61}. Stateless. */
 public final class LoadReportParser {
     private static final String PREFIX = "TEXT ";
-    /** Far above any real figure; one beyond it, once believed, would keep its endpoint out of use for good. */
+    /** Far above any real value. A greater one, if accepted, would keep its endpoint out of use permanently. */
     private static final double MAX_VALUE = 10_000;
 
     private LoadReportParser() {}
 
-    /** The report, or null where {@code text} is null or malformed, which says nothing of the endpoint's load. */
+    /** Returns the report, or null if {@code text} is null or malformed. */
     public static LoadReport parse(String text) {
         if (text == null || !text.startsWith(PREFIX)) {
             return null;
@@ -28,7 +28,7 @@
         return fields.report();
     }
 
-    /** The value, or NaN where it is no number or out of range. */
+    /** Returns the value, or NaN if it is not a number or out of range. */
     private static double parseValue(String text) {
         try {
             double value = Double.parseDouble(text.trim());
--- a/src/main/java/loadbalancer/proxy/protocol/MalformedEndpointListException.java
+++ b/src/main/java/loadbalancer/proxy/protocol/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy.protocol;
 
-/** A text that is no endpoint list; the message says what is wrong with it. */
+/** Thrown if a text is not an endpoint list. The message says what is wrong with it. */
 public final class MalformedEndpointListException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/proxy/protocol/MalformedJsonException.java
+++ b/src/main/java/loadbalancer/proxy/protocol/MalformedJsonException.java
@@ -1,6 +1,9 @@
 package loadbalancer.proxy.protocol;
 
-/** Text that is no JSON object, or an object without a field of the kind that is read; the message names it. */
+/**
+ * Thrown if a text is not a JSON object, or if a field of an object is missing or of another kind. The message names
+ * the field.
+ */
 public final class MalformedJsonException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/proxy/protocol/StrictFraming.java
+++ b/src/main/java/loadbalancer/proxy/protocol/StrictFraming.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpDecoderConfig;
 
 /**
- * The rules that the decoders of requests and of responses apply beyond those of Netty. A message that two readers may
- * frame differently is rejected: a body could hide a message otherwise.
+ * Checks that the decoders of requests and responses make in addition to Netty's. A message with ambiguous framing is
+ * rejected, because another message could be smuggled in its body. Stateless.
  */
 public final class StrictFraming {
     private StrictFraming() {}
@@ -14,16 +14,18 @@
         return new HttpDecoderConfig().setStrictLineParsing(true);
     }
 
-    /** What is wrong with a message of two framings; Netty itself drops the length and goes on. */
+    /** Creates the exception for a message with both headers; by default Netty ignores {@code Content-Length} then. */
     public static IllegalArgumentException contentLengthWithTransferEncoding() {
         return new IllegalArgumentException("Content-Length beside Transfer-Encoding");
     }
 
     /**
-     * Checks that a name ends with a colon; Netty takes a line without a colon, or with a space before it, for a
-     * header.
+     * Checks that a header name is not empty and is directly followed by a colon. Netty also accepts a line without a
+     * colon, or with a space before it.
      *
-     * @throws IllegalArgumentException where {@code line} has no name of {@code length} bytes at {@code start}
+     * @param start the index of the name in {@code line}
+     * @param length the length of the name
+     * @throws IllegalArgumentException if the name is empty or not followed by a colon
      */
     public static void checkHeaderName(byte[] line, int start, int length) {
         int end = start + length;
