--- a/src/main/java/loadbalancer/proxy/configuration/ConfigurationException.java
+++ b/src/main/java/loadbalancer/proxy/configuration/ConfigurationException.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.configuration;
 
 /**
- * A configuration that a sidecar can't start or go on with. The message is one line and names the field or variable
- * that an operator has to correct.
+ * Thrown if a sidecar can't start with a configuration or can't switch to it. The message is a single line and names
+ * the field or variable that an operator has to correct.
  */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -11,9 +11,7 @@
         super(joinLines(message));
     }
 
-    /**
-     * Replaces each run of white space by one space. A loop instead of a regular expression, whose classes are many.
-     */
+    /** Replaces each run of white space by one space. Not a regular expression, to avoid loading its many classes. */
     private static String joinLines(String text) {
         StringBuilder line = new StringBuilder();
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
@@ -9,13 +9,17 @@
 import loadbalancer.settings.RequestLimits;
 
 /**
- * Checks settings that are to replace those in force, before any of them is used. Messages name the settings as the
- * configuration file does. Settings of a start are not checked: there is nothing in force that they could damage.
+ * Checks the settings of a reload before they replace those in force. Messages use the names of the configuration file.
+ * The settings of a start are not checked here, because no running service could be damaged by them. Stateless.
  */
 final class SettingsValidator {
     private SettingsValidator() {}
 
-    /** @throws ConfigurationException naming the first setting that is out of its range or can't be changed */
+    /**
+     * Checks settings against their ranges and against those in force.
+     *
+     * @throws ConfigurationException naming the first setting that is out of range or can't be changed by a reload
+     */
     static void validate(LoadBalancerSettings reloaded, LoadBalancerSettings inForce) throws ConfigurationException {
         require(
                 reloaded.polledDiscovery() == inForce.polledDiscovery(),
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
@@ -8,17 +8,19 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The configuration of one sidecar, as {@link SidecarConfigurationReader} reads it.
+ * The configuration of one sidecar, as {@link SidecarConfigurationReader} reads it. Immutable.
  *
  * @param name the sidecar's name, for the log
  * @param listenAddress where clients connect
- * @param seed for the random choices of the load balancer
- * @param descriptorLimit how many file descriptors the process may hold
- * @param gossipListenAddress where datagrams of other sidecars are received; null without gossip
+ * @param discoveryAddress where the endpoint list is fetched from
+ * @param seed the seed of the load balancer's random choices
+ * @param descriptorLimit how many file descriptors the process may have open
+ * @param gossipListenAddress where datagrams from other sidecars are received; null without gossip
  * @param gossipPeers the addresses of all sidecars, in the order of their indices; empty without gossip
- * @param gossipBroadcastAddress the address that reaches all sidecars; null where there is none
+ * @param gossipBroadcastAddress the address that reaches all sidecars; null if there is none
  * @param initialEndpoints the endpoint list from before this start, which may be outdated
- * @param settingsText the flattened names and values that {@code settings} was read from
+ * @param settingsText the flattened names and values that {@code settings} was read from; used to detect changes
+ * @param settings the settings of the load balancer
  */
 public record SidecarConfiguration(
         String name,
@@ -33,7 +35,7 @@
         Map<String, String> settingsText,
         LoadBalancerSettings settings) {
 
-    /** The limits that an operator compares with the needs of a deployment, as keys and values for the log. */
+    /** Returns the limits that an operator checks against the needs of a deployment, as keys and values for the log. */
     public String describeLimits() {
         StringBuilder limits = new StringBuilder("descriptor_limit=").append(descriptorLimit);
         for (RequestClass requestClass : settings.requestClasses()) {
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
@@ -16,8 +16,9 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * Reads the configuration file and the environment variables that override it. The names of both are known here alone.
- * Blocks on the file, so it must not be called on an event loop.
+ * Reads the configuration file and the environment variables that override it. This is the only class that knows the
+ * names of the file's fields, apart from those of its settings, and of the variables. Blocks while it reads the file,
+ * so it must not be called on an event loop.
  */
 public final class SidecarConfigurationReader {
     private static final String FILE_VARIABLE = "BALANCER_CONFIG";
@@ -65,8 +66,8 @@
     }
 
     /**
-     * Reads the configuration for a running sidecar. The file's discovery address overrides the environment's, which is
-     * that of the start.
+     * Reads the configuration for a running sidecar. The discovery address is taken from the file even if the
+     * environment sets one, because a reload can't change the environment.
      *
      * @throws ConfigurationException as for {@link #read}, or if the settings can't replace those in force
      */
--- a/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
@@ -12,18 +12,24 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Bootstraps of outgoing connections on an event loop. Addresses must be resolved: there is no name service. */
+/**
+ * Creates Netty bootstraps for outgoing connections. Addresses must already be resolved, because host names are never
+ * looked up. Stateless.
+ */
 public final class ClientBootstraps {
     private ClientBootstraps() {}
 
-    /** For HTTP/1.1; each connection gets a new handler, which receives whole responses of bounded size. */
+    /**
+     * Creates a bootstrap for HTTP/1.1. Each connection gets a handler from {@code newHandler}, which receives
+     * aggregated responses of at most {@code maxResponseBytes}.
+     */
     public static Bootstrap http(
             EventLoop loop, int connectTimeoutMillis, int maxResponseBytes, Supplier<ChannelHandler> newHandler) {
         return tcp(loop, connectTimeoutMillis, channel -> channel.pipeline()
                 .addLast(new HttpClientCodec(), new HttpObjectAggregator(maxResponseBytes), newHandler.get()));
     }
 
-    /** For any protocol; {@code initializer} adds the handlers to each new channel. */
+    /** Creates a bootstrap for any protocol on TCP. {@code initializer} adds the handlers to each new channel. */
     public static Bootstrap tcp(EventLoop loop, int connectTimeoutMillis, Consumer<Channel> initializer) {
         return new Bootstrap()
                 .group(loop)
--- a/src/main/java/loadbalancer/proxy/eventloop/DeferredActions.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DeferredActions.java
@@ -3,7 +3,10 @@
 import java.util.Queue;
 import loadbalancer.decision.LoadBalancerActions;
 
-/** Appends each action to a queue, to be carried out by {@code executor} when the queue is run. */
+/**
+ * Turns each action into a task in a queue, which calls the same method of another {@link LoadBalancerActions} when it
+ * is run. Confined to the event loop.
+ */
 final class DeferredActions implements LoadBalancerActions {
     private final Queue<Runnable> pending;
     private final LoadBalancerActions executor;
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -3,18 +3,20 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * Explains in the log why the event loop was late: by its longest task, and by what each thread of the process ran and
- * how long it waited for a processor. The threads are read only when a line is due. Used on the event loop only.
+ * Collects what explains why the event loop was late: its longest task, and for each thread of the process how long it
+ * ran and how long it waited for a processor. Thread times are read only when there is something to report. Confined to
+ * the event loop.
  */
 public final class EventLoopMonitor {
+    /** A greater lag is reported. */
     private static final long LATE_MICROS = 100_000;
-    /** Lines cost time themselves: a loop that is late for long gets no more than this. */
+    /** At most one report in this time, because a report itself takes time on a loop that is already late. */
     private static final long MIN_REPORT_INTERVAL_MICROS = 1_000_000;
 
     private static final String NO_TASK = "none";
 
     private final MonotonicClock clock;
-    /** Null before {@link #start}. */
+    /** The thread times that the next report is compared with; null before {@link #start}. */
     private ThreadTimes baseline;
 
     private long baselineMicros;
@@ -26,19 +28,19 @@
         this.clock = clock;
     }
 
-    /** Allows reports, which count the threads' times from now on. */
+    /** Starts reporting. The first report covers the thread times from now on. */
     public void start() {
         baseline = ThreadTimes.read();
         baselineMicros = clock.nowMicros();
     }
 
-    /** Counts the threads' times from now on. */
+    /** Makes the next report cover the thread times from now on. Must not be called before {@link #start}. */
     public void resetBaseline() {
         baseline = baseline.readAgain();
         baselineMicros = clock.nowMicros();
     }
 
-    /** A task on the event loop is finished that began at {@code startMicros}. */
+    /** Records that a task, which began at {@code startMicros}, has finished. */
     public void taskFinished(String task, long startMicros) {
         long durationMicros = clock.nowMicros() - startMicros;
         if (durationMicros > longestTaskMicros) {
@@ -48,10 +50,10 @@
     }
 
     /**
-     * Ends an interval in which the longest task is looked for.
+     * Ends the interval in which the longest task is determined, and begins the next one.
      *
-     * @param lagMicros how late the periodic task was that calls this
-     * @return a line for the log; null where the loop was in time or was reported just before
+     * @param lagMicros how late the calling periodic task was
+     * @return a line for the log; null if the loop was not late, or the last report was less than a second ago
      */
     public String checkLag(long lagMicros) {
         String line = null;
--- a/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
@@ -3,14 +3,14 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * Confines a failure to the task in which it arose. Catches errors as well as exceptions, as both may be caused by one
- * request alone: a stack overflow, a class that can't be loaded, memory that ran out. Netty would end the task too, but
- * a periodic one for good.
+ * Runs tasks so that a failure ends only the task in which it occurred. Catches errors as well as exceptions, because a
+ * single request may cause either: a stack overflow, a class that can't be loaded, or lack of memory. Without this, a
+ * periodic task that throws would never run again. Stateless.
  */
 public final class FaultBarrier {
     private FaultBarrier() {}
 
-    /** Runs the task; returns false where it failed, and logs the failure under {@code taskName}. */
+    /** Runs the task. Returns false if it threw; the failure is then logged with {@code taskName}. */
     public static boolean run(String taskName, Runnable task) {
         try {
             task.run();
@@ -25,7 +25,7 @@
         try {
             SidecarLog.error("task_failed task=" + SidecarLog.quote(taskName), failure);
         } catch (RuntimeException | Error e) {
-            // There may be no memory left for the line: the next task runs all the same.
+            // There may be too little memory for the log line. The next task has to run even so.
             return;
         }
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -7,9 +7,10 @@
 import loadbalancer.decision.LoadBalancerActions;
 
 /**
- * Holds the load balancer and makes all calls to it, one after the other. Its actions are deferred until the call has
- * returned, and calls that actions lead to until all actions are done: no call ever re-enters the load balancer. A
- * failure of a call or an action is logged and affects nothing behind it. Used on the event loop only.
+ * Holds the load balancer and makes all calls to it, one at a time. The actions that the load balancer takes during a
+ * call are carried out after the call has returned; calls that result from these actions are made after all of them. So
+ * the load balancer is never re-entered. If a call or an action throws, that is logged and what follows it is still
+ * run. Confined to the event loop.
  */
 public final class LoadBalancerExecutor {
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
@@ -24,17 +25,21 @@
         this.monitor = monitor;
     }
 
-    /** Creates the load balancer, which may act from its constructor on; {@code executor} carries its actions out. */
-    public void start(Function<LoadBalancerActions, LoadBalancer> factory, LoadBalancerActions executor) {
-        calls.add(() -> loadBalancer = factory.apply(new DeferredActions(actions, executor)));
+    /**
+     * Creates the load balancer, which may already take actions in its constructor. {@code actionHandler} carries out
+     * all of its actions.
+     */
+    public void start(Function<LoadBalancerActions, LoadBalancer> factory, LoadBalancerActions actionHandler) {
+        calls.add(() -> loadBalancer = factory.apply(new DeferredActions(actions, actionHandler)));
         runPending();
     }
 
     /**
-     * Makes a call, at once unless one is being made.
+     * Makes a call to the load balancer: at once, or after the call or action that is running. Must not be called
+     * before {@link #start}.
      *
      * @param callName names the call in the log
-     * @param onFailure runs in place of the load balancer's actions where the call failed
+     * @param onFailure runs if the call throws, after the actions that it took before
      */
     public void submit(String callName, Consumer<LoadBalancer> call, Runnable onFailure) {
         calls.add(() -> {
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -13,22 +13,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An event loop of one thread that knows when it last read all of its sockets. In a loop that is late, a client's
- * disconnect may still wait in one socket while an event of another one starts an attempt for it. So an attempt starts
- * behind a read of all sockets that began shortly before ({@link #afterPendingReads}); this takes up to
- * {@link #MAX_POSTPONEMENTS} iterations of the loop and never waits.
+ * A single-threaded event loop that knows when it last read all of its sockets. If the loop is late, a client's
+ * disconnect may still be unread in one socket while an event from another socket starts an attempt for that client.
+ * Therefore an attempt is started only after a recent read of all sockets ({@link #afterPendingReads}). This takes up
+ * to {@link #MAX_POSTPONEMENTS} further iterations of the loop, but never blocks it.
  *
- * <p>{@link #clock}, {@link #eventLoop} and {@link #shutDown} may be called from any thread, the rest on the event loop
- * only.
+ * <p>{@link #clock}, {@link #eventLoop} and {@link #shutDown} may be called from any thread, all other methods only on
+ * the event loop.
  */
 public final class ReadTrackingEventLoop {
-    /** How old the last read may be: a part of the 100 ms after a disconnect in which an attempt may still start. */
+    /**
+     * How old the last read of all sockets may be when an attempt starts. An attempt may start up to 100 ms after its
+     * client's disconnect; this is a part of that.
+     */
     public static final long MAX_READ_AGE_MICROS = 25_000;
-    /** Where every iteration takes longer than that, waiting for a shorter one would never end. */
+    /**
+     * How often starts are postponed because the last read is too old. Without a limit they would never happen if every
+     * iteration took longer than {@link #MAX_READ_AGE_MICROS}.
+     */
     private static final int MAX_POSTPONEMENTS = 2;
-    /** Below this a timer is as exact as those of the system. */
+    /** A smaller delay is within the normal inaccuracy of timers and counts as none. */
     private static final long MIN_LATE_MICROS = 20_000;
-    /** Part of the recent lag that is lost with each tick: half of it after some twenty ticks. */
+    /** The recent lag decreases by this fraction with each {@link #recordLag}: by half after about twenty calls. */
     private static final int LAG_DECAY_DIVISOR = 32;
 
     private static final long NO_DEADLINE = -1;
@@ -41,12 +47,15 @@
     private int postponements;
     /** When the last read of all sockets began. */
     private long lastReadMicros;
-    /** When the loop had to wake up at the latest, by its own clock. */
+    /**
+     * When the first timer of the current iteration was due, by the loop's own clock; {@link #NO_DEADLINE} if there was
+     * none.
+     */
     private long wakeUpDeadlineNanos = NO_DEADLINE;
 
     private long recentLagMicros;
 
-    /** Starts the one thread of the loop; {@link #shutDown} ends it. */
+    /** Creates the loop and its thread, which runs until {@link #shutDown}. */
     public ReadTrackingEventLoop(MonotonicClock clock) {
         this.clock = clock;
         group = new MultiThreadIoEventLoopGroup(1, trackingFactory(NioIoHandler.newFactory()));
@@ -61,17 +70,20 @@
         return loop;
     }
 
-    /** Ends the thread at once, with all channels and timers on it. */
+    /** Ends the thread at once and closes all of its channels; pending timers don't run. */
     public void shutDown() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** Runs {@code start} once all that the sockets hold by now has been read and handled. */
+    /**
+     * Runs {@code start} after everything that the sockets contain now has been read and handled; on a loop that stays
+     * late, after {@link #MAX_POSTPONEMENTS} iterations in any case.
+     */
     public void afterPendingReads(Runnable start) {
         pendingStarts.add(start);
         if (!startScheduled) {
             startScheduled = true;
-            // A closed connection that a read finds is reported by a task of its own: this is to come behind it.
+            // Netty reports a connection that was found closed in a separate task. Two steps let that task run first.
             loop.execute(() -> loop.execute(this::runPendingStarts));
         }
     }
@@ -79,26 +91,26 @@
     private void runPendingStarts() {
         boolean readIsOld = clock.nowMicros() - lastReadMicros > MAX_READ_AGE_MICROS;
         if (readIsOld && postponements++ < MAX_POSTPONEMENTS) {
-            // Due at once, but the loop reads its sockets before it runs a timer that is new.
+            // Due at once, but the loop reads its sockets before it runs a new timer.
             loop.schedule(this::runPendingStarts, 1, TimeUnit.NANOSECONDS);
             return;
         }
         startScheduled = false;
         postponements = 0;
-        // Starts that these lead to are for the next time.
+        // Starts that are added meanwhile are left for the next round.
         for (int remaining = pendingStarts.size(); remaining > 0; remaining--) {
             FaultBarrier.run("attempt_start", pendingStarts.poll());
         }
     }
 
-    /** When the last read of all sockets began: all that had come by then is handled. */
+    /** When the last read of all sockets began. Everything that had arrived by then has been read. */
     public long lastReadMicros() {
         return lastReadMicros;
     }
 
     /**
-     * By how much the loop is behind its timers, 0 where it is in time: what is read now may have waited in its socket
-     * for so long, which the socket itself does not tell.
+     * By how many microseconds the loop is late for its timers; 0 if it is in time. Data that is read now may have
+     * waited in its socket for this long, which can't be found out from the socket.
      */
     public long lateMicros() {
         if (wakeUpDeadlineNanos == NO_DEADLINE) {
@@ -108,12 +120,12 @@
         return lateMicros < MIN_LATE_MICROS ? 0 : lateMicros;
     }
 
-    /** To be called by a periodic task, with the time by which it was late. */
+    /** Records by how much a periodic task ran late. Must be called by one periodic task, on each run. */
     public void recordLag(long lagMicros) {
         recentLagMicros = Math.max(lagMicros, recentLagMicros - recentLagMicros / LAG_DECAY_DIVISOR);
     }
 
-    /** The largest recent lag, which decays with each periodic task. */
+    /** The largest recent lag in microseconds, which decays with each {@link #recordLag}. */
     public long recentLagMicros() {
         return recentLagMicros;
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
@@ -12,16 +12,16 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * How long each thread of this process has run and has waited in the run queue, as Linux reports it in
- * {@code /proc/self/task/ID/schedstat}; empty where there are no such files. The JDK's management beans don't know the
- * run queue, and loading them takes more than a tenth of a start.
+ * How long each thread of this process has run and has waited for a processor, as Linux reports it in
+ * {@code /proc/self/task/ID/schedstat}; empty if there are no such files. The JDK's management beans don't report that
+ * wait, and loading them takes more than a tenth of the time of a start.
  */
 final class ThreadTimes {
     private static final File THREAD_DIRECTORY = new File("/proc/self/task");
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int MAX_DESCRIBED_THREADS = 6;
 
-    /** Since the start of the thread. */
+    /** The times of one thread since it started. */
     private record CpuTimes(long ranNanos, long waitedNanos) {
         static final CpuTimes NONE = new CpuTimes(0, 0);
     }
@@ -33,7 +33,7 @@
     }
 
     private final Map<String, CpuTimes> timesById = new HashMap<>();
-    /** Shared by successive readings, as threads don't change their names. */
+    /** Thread names by id, shared by successive readings, as threads don't change their names. */
     private final Map<String, String> namesById;
 
     private ThreadTimes(Map<String, String> namesById) {
@@ -44,7 +44,7 @@
         return read(new HashMap<>());
     }
 
-    /** The times of now; the names of threads that are known already are not read again. */
+    /** Reads the current times. The names of known threads are not read again. */
     ThreadTimes readAgain() {
         return read(namesById);
     }
@@ -70,7 +70,7 @@
                 namesById.put(threadId, readFile(threadId, "comm"));
             }
         } catch (IOException | NumberFormatException | IndexOutOfBoundsException e) {
-            // The thread has just ended.
+            // The thread ended while it was being read.
             timesById.remove(threadId);
         }
     }
@@ -82,7 +82,10 @@
         }
     }
 
-    /** The threads that ran or waited most since {@code earlier}, as keys and values with a space before each key. */
+    /**
+     * Describes the threads that ran or waited most since {@code earlier}, as keys and values with a space before each
+     * key.
+     */
     String describeSince(ThreadTimes earlier) {
         StringBuilder text = new StringBuilder();
         List<Usage> usages = usagesSince(earlier);
@@ -97,7 +100,7 @@
         return text.toString();
     }
 
-    /** The most active first, without those that did nothing. */
+    /** The threads that ran or waited for at least 1 ms since {@code earlier}, the most active first. */
     private List<Usage> usagesSince(ThreadTimes earlier) {
         List<Usage> usages = new ArrayList<>();
         timesById.forEach((threadId, now) -> {
--- a/src/main/java/loadbalancer/proxy/eventloop/package-info.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The event loop that the whole sidecar runs on, its clock, and what keeps work on it isolated and measured. Owns the
- * loop's thread and the calls into the decision module; never knows a request, an endpoint or a protocol.
+ * The event loop that the whole sidecar runs on, its clock, and the isolation and measurement of the tasks on it. Owns
+ * the loop's thread and makes all calls to the load balancer. Knows no request, endpoint or protocol.
  */
 package loadbalancer.proxy.eventloop;
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -17,14 +17,15 @@
 import loadbalancer.proxy.eventloop.MonotonicClock;
 
 /**
- * Datagrams of gossip between sidecars. A peer is known by its index in the configured list; datagrams of any other
- * sender are dropped, as are those that are too long. Delivery is not promised: what can't be sent is lost.
+ * Sends and receives the gossip datagrams between sidecars. A peer is identified by its index in the configured list.
+ * Datagrams from other senders are dropped, as are those that are too long. Delivery is not guaranteed, and nothing is
+ * sent again.
  *
  * <p>All methods but the constructor and {@link #listen} run on the event loop that owns the socket. Received buffers
  * are released by the handler, sent ones by Netty.
  */
 public final class GossipTransport {
-    /** The peer index that stands for all peers. */
+    /** The index that stands for all peers. */
     private static final int ALL_PEERS = -1;
 
     private static final int MAX_DATAGRAM_BYTES = 256;
@@ -33,9 +34,9 @@
     private final LoadBalancerExecutor decisions;
     private final Map<InetSocketAddress, Integer> peerIndexes = new HashMap<>();
     private List<InetSocketAddress> peers;
-    /** Null where the configuration names no such address. */
+    /** The address that reaches all peers; null if the configuration has none. */
     private InetSocketAddress allPeers;
-    /** Null until the transport listens; without a listener nothing is sent. */
+    /** Null until {@link #listen} has returned; nothing is sent before. */
     private Channel channel;
 
     /** Sends and receives nothing until it listens; {@code allPeers} may be null. */
@@ -49,7 +50,7 @@
         updatePeers(peers, allPeers);
     }
 
-    /** Replaces the peers: their indexes are those in {@code newPeers} from now on. */
+    /** Replaces the peers. From now on a peer's index is that in {@code newPeers}. */
     public void updatePeers(List<InetSocketAddress> newPeers, InetSocketAddress newAllPeers) {
         peers = newPeers;
         allPeers = newAllPeers;
@@ -59,7 +60,7 @@
         }
     }
 
-    /** Binds the socket, waiting for it; not to be called on the event loop itself. */
+    /** Binds the socket. Blocks until it is bound, so it must not be called on the event loop. */
     public void listen(EventLoop loop, InetSocketAddress address) throws InterruptedException {
         channel = new Bootstrap()
                 .group(loop)
@@ -70,7 +71,10 @@
                 .channel();
     }
 
-    /** Sends to the peer of this index, or to all where it is -1. Unknown peers and messages too long are skipped. */
+    /**
+     * Sends a message to the peer with this index, or to all peers if it is -1. Does nothing if the peer is unknown or
+     * the message is too long.
+     */
     public void send(int peer, byte[] message) {
         InetSocketAddress recipient = recipient(peer);
         if (channel != null && recipient != null && message.length <= MAX_DATAGRAM_BYTES) {
@@ -78,7 +82,7 @@
         }
     }
 
-    /** Null where there is no such peer. */
+    /** Returns null if there is no such peer. */
     private InetSocketAddress recipient(int peer) {
         if (peer == ALL_PEERS) {
             return allPeers;
@@ -86,7 +90,7 @@
         return peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
     }
 
-    /** Passes the datagrams of peers on to the decision module. */
+    /** Passes the datagrams of peers to the load balancer. */
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
@@ -98,7 +102,7 @@
             decisions.submit("gossip", module -> module.onGossip(clock.nowMicros(), peer, message), () -> {});
         }
 
-        /** An earlier datagram could not be delivered: no reason to stop listening. */
+        /** Ignored: an earlier datagram could not be delivered, and the socket remains usable. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
--- a/src/main/java/loadbalancer/proxy/gossip/package-info.java
+++ b/src/main/java/loadbalancer/proxy/gossip/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Carries gossip between sidecars in UDP datagrams and knows which sender is which peer. It does not read what the
- * datagrams say, keeps and repeats none of them, and decides nothing about a request.
+ * Carries gossip between sidecars in UDP datagrams and maps senders to peer indexes. It does not interpret, store or
+ * repeat datagrams, and decides nothing about a request.
  */
 package loadbalancer.proxy.gossip;
