--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -8,9 +8,9 @@
 import sun.misc.SignalHandler;
 
 /**
- * Reloads the configuration on SIGHUP. Installed first thing, as an unhandled SIGHUP ends the process; a signal that
- * comes before there is a sidecar is kept until {@link #attach}. The file is read on the signal's own thread, so that
- * the event loop only receives the validated result.
+ * Reloads the configuration on SIGHUP. Created early in the start, because an unhandled SIGHUP would end the process. A
+ * signal that arrives before there is a sidecar takes effect in {@link #attach}. The file is read on the thread of the
+ * signal or of {@code attach}, never on the event loop, which only receives the validated result. Thread-safe.
  */
 final class ConfigurationReloader {
     private final Map<String, String> environment;
@@ -20,7 +20,7 @@
     ConfigurationReloader(Map<String, String> environment) {
         this.environment = environment;
         if (Signal.handle(new Signal("HUP"), signal -> onSignal()) == SignalHandler.SIG_IGN) {
-            // Java leaves a signal ignored that was so when it was started, as by nohup: no handler changes that.
+            // If SIGHUP was ignored when Java was started, as nohup does, Java keeps it ignored and calls no handler.
             SidecarLog.info("configuration_reload_disabled reason=\"SIGHUP was ignored when the process was started\"");
         }
     }
@@ -31,13 +31,13 @@
         reloadIfPending();
     }
 
-    /** From now on reloads go to this sidecar, one that is pending at once. */
+    /** Sets the sidecar that reloads apply to. A pending reload is done at once. */
     synchronized void attach(Sidecar started) {
         sidecar = started;
         reloadIfPending();
     }
 
-    /** An invalid configuration changes nothing: the one in force still works. */
+    /** Reads and applies the configuration. If it is invalid, that is logged and the one in force stays. */
     private void reloadIfPending() {
         if (sidecar == null || !reloadPending) {
             return;
--- a/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
@@ -20,11 +20,11 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
- * Carries out the decisions of the load balancer: hands each to the part of the sidecar that it concerns. Used on the
- * event loop only.
+ * Carries out the actions of the load balancer by calling the part of the sidecar that each concerns. Confined to the
+ * event loop.
  */
 final class DecisionExecutor implements LoadBalancerActions {
-    /** A load report that takes longer says nothing of the present load. */
+    /** A load report that takes longer is too old to describe the current load. */
     private static final long HEALTH_CHECK_TIMEOUT_MICROS = 50_000;
 
     private static final String LOAD_REPORT_PATH = "/stats";
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -12,12 +12,12 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
- * The periodic work on the event loop: measures how late the loop is, closes stalled connections of clients, and logs
- * the totals. Used on the event loop only.
+ * The periodic work on the event loop, every 100 ms: measures how late the loop is, closes stalled connections of
+ * clients, and every 5 s logs the totals. Confined to the event loop.
  */
 final class MaintenanceTask {
     private static final long INTERVAL_MILLIS = 100;
-    /** Totals every 5 s: often enough to tell a bad stretch from the good ones around it. */
+    /** Totals are logged every 5 s, often enough to see when a problem began and ended. */
     private static final int RUNS_PER_TOTALS = 50;
 
     private final ReadTrackingEventLoop eventLoop;
--- a/src/main/java/loadbalancer/proxy/lifecycle/NettyEnvironment.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/NettyEnvironment.java
@@ -3,17 +3,18 @@
 import loadbalancer.proxy.observability.NettyLoggerFactory;
 
 /**
- * Settings of Netty and of the JDK's sockets that save processor time at a start. All are documented system properties;
- * one that the command line sets keeps its value.
+ * System properties of Netty and the JDK that save processor time at the start. Properties set on the command line are
+ * not changed.
  */
 final class NettyEnvironment {
     private NettyEnvironment() {}
 
-    /** Must be called before the first class of Netty and the first socket class of the JDK are used. */
+    /** Must be called before any class of Netty or any socket class of the JDK is used. */
     static void prepare() {
-        // Netty's Flight Recorder events start that recorder: a fifth of a start's processor time.
+        // Netty's Flight Recorder events would initialize the recorder, a fifth of the start's processor time.
         setIfAbsent("io.netty.jfr.enabled", "false");
-        // Parts of channel identifiers, unused here; by default all network interfaces are enumerated for them.
+        // These become parts of channel ids, which are not used here. By default Netty enumerates all network
+        // interfaces to derive them.
         setIfAbsent("io.netty.machineId", "00:00:00:00:00:01");
         setIfAbsent("io.netty.processId", "1");
         // All addresses are IPv4; by default dual-stack sockets are tried first.
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -26,11 +26,14 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * One sidecar: builds its parts, starts them, gives them a new configuration and stops them. A single event loop owns
- * all parts. The methods may be called from any thread but that of the loop; they hand their work to the loop.
+ * One sidecar: creates its parts, starts them, applies a new configuration and stops them. A single event loop owns all
+ * parts. The methods may be called from any thread except the event loop's; they submit their work to the loop.
  */
 public final class Sidecar {
-    /** Two parts of one response never come so far apart. */
+    /**
+     * The stall timeout is never shorter, whatever the latency objectives are: an endpoint that works does not pause
+     * for this long within a response.
+     */
     private static final long MIN_STALL_TIMEOUT_MICROS = 10_000;
 
     private final LoadBalancerFactory loadBalancerFactory;
@@ -46,12 +49,12 @@
     private final GossipTransport gossip;
     private final ClientServer clients;
     private final MaintenanceTask maintenance;
-    /** Replaced on the event loop; read by other threads too. */
+    /** Replaced on the event loop only, but read by other threads too. */
     private volatile SidecarConfiguration configuration;
 
     private InetSocketAddress listenAddress;
 
-    /** Builds a sidecar with an event loop of its own and the usual timeouts; nothing is opened yet. */
+    /** Creates a sidecar with its own event loop and the default timeouts. Opens no socket. */
     public Sidecar(SidecarConfiguration configuration, LoadBalancerFactory loadBalancerFactory) {
         this(
                 configuration,
@@ -61,7 +64,7 @@
                 DiscoveryWatch.defaultBackoff());
     }
 
-    /** Builds the parts on {@code eventLoop}, which the sidecar owns from now on; nothing is opened yet. */
+    /** Creates a sidecar on {@code eventLoop}, which it owns from then on. Opens no socket. */
     public Sidecar(
             SidecarConfiguration configuration,
             LoadBalancerFactory loadBalancerFactory,
@@ -122,12 +125,18 @@
                 statistics);
     }
 
-    /** Not a reference to the method of {@link #clients}: the field is set after its first users are built. */
+    /**
+     * Used instead of {@code clients::openConnections}, because {@link #clients} is not set yet when the pool is
+     * created.
+     */
     private int openClientConnections() {
         return clients.openConnections();
     }
 
-    /** Closes an idle connection to an upstream where no descriptor is free. */
+    /**
+     * Returns whether a client's connection may be accepted. If no descriptor is free, closes an idle connection to an
+     * endpoint to free one.
+     */
     private boolean hasDescriptorForClient() {
         return openClientConnections() + upstreams.openConnections() < descriptors.maxConnections()
                 || upstreams.closeOldestIdleConnection();
@@ -140,7 +149,7 @@
                 stallTimeoutMicros(settings));
     }
 
-    /** A quarter of the shortest latency objective: enough of it is left for another attempt. */
+    /** A quarter of the shortest latency objective, which leaves enough time for another attempt. */
     private static long stallTimeoutMicros(LoadBalancerSettings settings) {
         long shortestObjectiveMicros = settings.requestClasses().stream()
                 .mapToLong(RequestClass::latencyObjectiveMicros)
@@ -150,7 +159,7 @@
     }
 
     /**
-     * Starts the load balancer and discovery, then opens the listeners; clients are served when this returns.
+     * Starts the load balancer and discovery, then opens the listeners. Clients are served once this returns.
      *
      * @throws java.net.BindException undeclared, if an address can't be listened on
      */
@@ -180,7 +189,9 @@
         return created;
     }
 
-    /** How many connections of clients and to upstreams are open or being opened. */
+    /**
+     * How many connections of clients and to endpoints are open or being opened. Blocks until the event loop answers.
+     */
     int openConnections() throws InterruptedException {
         int[] open = new int[1];
         loop.submit(() -> open[0] = clients.openConnections() + upstreams.openConnections())
@@ -199,26 +210,30 @@
     }
 
     /**
-     * To be called before {@link #start}: the sidecar serves, but does not report readiness before
-     * {@link #warmUpCompleted}. {@code onRequest} runs with each request that is accepted until then.
+     * Makes the sidecar serve without reporting readiness until {@link #warmUpCompleted}. {@code onRequest} runs on the
+     * event loop for each request that is accepted until then. Must be called before {@link #start}.
      */
     public void holdReadinessForWarmUp(Runnable onRequest) {
         clients.holdReadinessForWarmUp(onRequest);
     }
 
-    /** Allows readiness to be reported; it is when this returns, if discovery and an endpoint are there. */
+    /**
+     * Lets the sidecar report readiness, if discovery has synced and an endpoint is ready. Blocks until that is in
+     * effect.
+     */
     void warmUpCompleted() throws InterruptedException {
         loop.submit(clients::warmUpCompleted).sync();
     }
 
     /**
-     * Puts a validated configuration in force: discovery address, settings and gossip peers. The listen addresses, the
-     * descriptor limit and the seed are those of the start until the process ends.
+     * Applies a validated configuration on the event loop: discovery address, settings and gossip peers. The listen
+     * addresses, the descriptor limit and the seed change only with the next start.
      */
     public void applyConfiguration(SidecarConfiguration reloaded) {
         loop.execute(() -> {
             discovery.moveTo(reloaded.discoveryAddress());
-            // The text is compared: the first comparison of records loads a hundred classes on the event loop.
+            // Compares the text, because the first comparison of the settings records would load a hundred classes on
+            // the event loop.
             if (!reloaded.settingsText().equals(configuration.settingsText())
                     || !reloaded.gossipPeers().equals(configuration.gossipPeers())) {
                 configuration = reloaded;
@@ -231,19 +246,22 @@
     private void applySettings(SidecarConfiguration reloaded) {
         LoadBalancerSettings settings = reloaded.settings();
         gossip.updatePeers(reloaded.gossipPeers(), reloaded.gossipBroadcastAddress());
-        // The load balancer first: it must know a new class before a request of that class is accepted.
+        // The load balancer comes first, as it must know a new class before a request of that class is accepted.
         loadBalancer.submit("settings", module -> module.onSettings(clock.nowMicros(), settings), () -> {});
         requests.updateMaxAttempts(settings.limits().maxAttempts());
         upstreams.updateTimeouts(upstreamTimeouts(settings));
         clients.updateRequestClasses(settings.requestClasses());
     }
 
-    /** Runs {@code onStopped} on the event loop once all accepted requests are answered and all clients are closed. */
+    /**
+     * Starts the graceful shutdown. Runs {@code onStopped} on the event loop once all accepted requests are answered
+     * and all connections of clients are closed.
+     */
     void shutDownGracefully(Runnable onStopped) {
         loop.execute(() -> clients.shutDownGracefully(onStopped));
     }
 
-    /** Ends the event loop at once, with all requests and connections. */
+    /** Ends the event loop at once; all requests and connections are dropped. */
     public void shutDownNow() {
         loop.execute(discovery::stop);
         eventLoop.shutDown();
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -11,7 +11,9 @@
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.observability.StartupTimer;
 
-/** The process of one sidecar: from its environment to readiness, and from a termination signal to its exit. */
+/**
+ * The process of one sidecar: starts it from the environment, reports readiness, and stops it on a termination signal.
+ */
 public final class SidecarProcess {
     private static final int EXIT_STOPPED = 0;
     private static final int EXIT_START_FAILED = 1;
@@ -19,7 +21,10 @@
 
     private SidecarProcess() {}
 
-    /** Serves until the process ends. Returns only after a failed start, with the exit code of the process. */
+    /**
+     * Starts the sidecar and serves until the process ends. Returns only if the start failed, with the exit code for
+     * the process.
+     */
     public static int serve(Map<String, String> environment) throws InterruptedException {
         int exitCode = EXIT_START_FAILED;
         try {
@@ -28,7 +33,8 @@
             SidecarLog.info("configuration_invalid reason=" + SidecarLog.quote(e.getMessage()));
             exitCode = EXIT_CONFIGURATION_INVALID;
         } catch (RuntimeException | Error e) {
-            // Errors as well: the event loop's thread would keep a process alive that never becomes ready.
+            // Catches errors too. Otherwise the event loop's thread would keep a process alive that never becomes
+            // ready.
             SidecarLog.error("start_failed", e);
         }
         SidecarLog.flush();
@@ -71,7 +77,7 @@
             sidecar.start();
             return true;
         } catch (Exception e) {
-            // Netty throws the checked exception of an address that can't be listened on undeclared.
+            // If the address can't be bound, Netty throws a checked BindException without declaring it.
             SidecarLog.info("start_failed error=" + SidecarLog.quote(e));
             return false;
         }
@@ -90,11 +96,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        // A requested stop is no failure: without this the exit code would be that of the signal.
+        // A requested stop is not a failure. Without this the exit code would be that of the signal.
         Runtime.getRuntime().halt(EXIT_STOPPED);
     }
 
-    /** Blocks for good: the shutdown hook ends the process. */
+    /** Blocks forever; the shutdown hook ends the process. */
     private static void awaitTermination() throws InterruptedException {
         new CountDownLatch(1).await();
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -24,14 +24,14 @@
 import loadbalancer.proxy.protocol.HeaderNames;
 
 /**
- * Loads and links the code of the serving path before the sidecar reports readiness: a second sidecar in this process,
- * on an event loop of its own, serves a few requests between a stub client and a stub server. Code that has never run
- * takes ten times as long; met by full traffic, that makes endpoints look slow and most first requests late.
+ * Loads and links the serving code before the sidecar reports readiness. A second sidecar in this process, with its own
+ * event loop, serves a few requests between a stub client and a stub server. Code that runs for the first time takes
+ * ten times as long; under full traffic that would make endpoints look slow and most first requests late.
  */
 final class StartupWarmUp {
     /**
-     * A few of each class. More would only have code compiled earlier, and latency is no criterion for the end: on a
-     * shared processor it may stay high.
+     * A few of each class, as a fixed number. More would only have the code compiled earlier. The warm-up does not wait
+     * for the latency to fall, because on a shared processor it may stay high.
      */
     private static final int MAX_REQUESTS = 12;
     /** Enough requests at once to keep the event loop busy, and few enough not to overload an endpoint. */
@@ -51,18 +51,21 @@
         client = new WarmUpClient(configuration.settings().requestClasses(), MAX_REQUESTS);
     }
 
-    /** Ends the warm-up early; may be called from any thread, also before {@link #run}. */
+    /** Ends the warm-up early. May be called from any thread, even before {@link #run}. */
     void cancel() {
         client.cancel();
     }
 
-    /** Blocks until the warm-up has ended and returns how many requests it served; a failure is logged, not thrown. */
+    /**
+     * Runs the warm-up, blocks until it has ended and returns how many requests were served. A failure is logged, not
+     * thrown.
+     */
     int run() {
         ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(new MonotonicClock());
         try {
             serveRequests(eventLoop);
         } catch (Exception | Error e) {
-            // Errors as well: without a warm-up the sidecar only starts slower.
+            // Catches errors too, because without a warm-up the sidecar is only slower at first.
             SidecarLog.error("warm_up_failed", e);
         } finally {
             eventLoop.shutDown();
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
@@ -17,16 +17,16 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The client of a warm-up: sends requests of all classes in turn, one after the other on each of its connections, until
- * enough are answered. {@link #cancel}, {@link #await} and {@link #responses} may be called from any thread; the rest
- * belongs to the event loop of its connections.
+ * The client of a warm-up. Sends requests of all classes in turn, one at a time on each connection, until enough are
+ * answered. {@link #cancel}, {@link #await} and {@link #responses} may be called from any thread; all other methods run
+ * on the event loop of the connections.
  */
 final class WarmUpClient {
     private final List<RequestClass> requestClasses;
     private final int maxResponses;
     private final CountDownLatch finished = new CountDownLatch(1);
     private int requestsSent;
-    /** Written by the event loop alone. */
+    /** Written only by the event loop. */
     private volatile int responses;
 
     WarmUpClient(List<RequestClass> requestClasses, int maxResponses) {
@@ -34,12 +34,12 @@
         this.maxResponses = maxResponses;
     }
 
-    /** The handler for one connection, which sends its first request when it is open. */
+    /** Creates the handler for one connection, which sends its first request when the connection is open. */
     ChannelHandler newHandler() {
         return new Handler();
     }
 
-    /** Ends the wait of {@link #await}, also one that begins later. */
+    /** Makes {@link #await} return at once, even if it is called later. */
     void cancel() {
         finished.countDown();
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpServerHandler.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpServerHandler.java
@@ -13,8 +13,8 @@
 import loadbalancer.proxy.protocol.HeaderNames;
 
 /**
- * The server of a warm-up, endpoint and discovery in one: answers requests and polls at once, and leaves a watch
- * waiting, as where nothing changes.
+ * The server of a warm-up, both endpoint and discovery. Answers requests and immediate discovery calls at once. Leaves
+ * long polls unanswered, as if the endpoint list never changed.
  */
 final class WarmUpServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final String NO_CHANGES = "{\"generation\":1,\"reset\":false,\"instances\":[]}";
--- a/src/main/java/loadbalancer/proxy/lifecycle/package-info.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of one sidecar: the process, the start with its warm-up, the configuration reload and the shutdown. Owns the
- * wiring of all parts on one event loop and the division of file descriptors; never decides about a request.
+ * The lifecycle of one sidecar: process, start and warm-up, configuration reload and shutdown. Connects all parts on
+ * one event loop and divides the file descriptors among them. Never decides about a request.
  */
 package loadbalancer.proxy.lifecycle;
