--- a/src/main/java/loadbalancer/input/LoadReportFields.java
+++ b/src/main/java/loadbalancer/input/LoadReportFields.java
@@ -14,9 +14,9 @@
     private double utilization = NOT_REPORTED;
 
     /**
-     * Takes one value. A later value of the same meaning replaces an earlier one; names without a meaning for the load
-     * balancer are skipped.
+     * Takes one value. A later value of the same meaning replaces an earlier one; unknown names are skipped.
      *
+     * @param name the value's outside name
      * @param value a count or ratio; negative if it is not reported
      */
     public void put(String name, double value) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The report of the values so far; what was not put is negative in it. */
+    /** The report of the values so far; a value that was not put is negative. */
     public LoadReport report() {
         return new LoadReport(inFlight, queued, utilization);
     }
--- a/src/main/java/loadbalancer/input/SettingValues.java
+++ b/src/main/java/loadbalancer/input/SettingValues.java
@@ -26,7 +26,7 @@
         return values.getOrDefault(path, absent);
     }
 
-    /** Names joined with commas. An absent list is read from {@code absent}. */
+    /** A list of names joined with commas; {@code absent}, in the same form, replaces an absent value. */
     List<String> namesOr(String path, String absent) {
         return Arrays.asList(textOr(path, absent).split(","));
     }
--- a/src/main/java/loadbalancer/input/SettingsReader.java
+++ b/src/main/java/loadbalancer/input/SettingsReader.java
@@ -17,8 +17,8 @@
  * Reads settings from pairs of path and value, as they come from the configuration of a sidecar or on the simulator's
  * wire.
  *
- * <p>This class is the one place that maps the outside names of settings to the terms of the code. Paths that it does
- * not know are skipped, so that new settings need no new program. A reader may be used from one thread.
+ * <p>This class is the one place that maps the outside names of settings to the terms of the code. Unknown paths are
+ * skipped, so that a configuration may hold settings of a newer version. Not thread-safe.
  */
 public final class SettingsReader {
     private static final long DEFAULT_CONNECTION_IDLE_TIMEOUT_MICROS = 15_000_000;
@@ -163,7 +163,7 @@
         };
     }
 
-    /** Any other name counts as no reports, with which every policy works. */
+    /** An absent or unknown name means that endpoints send no load reports; the module works without them. */
     private LoadReporting loadReporting(String path) {
         return switch (values.textOr(path, "off")) {
             case "inline" -> LoadReporting.INLINE;
--- a/src/main/java/loadbalancer/settings/DeduplicationScope.java
+++ b/src/main/java/loadbalancer/settings/DeduplicationScope.java
@@ -1,8 +1,8 @@
 package loadbalancer.settings;
 
 /**
- * Which endpoints share their memory of idempotency keys. A retry of a request that may have run is harmless only
- * within the scope of the endpoint that may have run it, since only there a repeated key is dropped.
+ * Which endpoints share one store of idempotency keys. A retry of a request that may have run is safe only on an
+ * endpoint in the same scope as the one that may have run it, because only that scope drops the repeated key.
  */
 public enum DeduplicationScope {
     /** Every endpoint. */
--- a/src/main/java/loadbalancer/settings/RequestClass.java
+++ b/src/main/java/loadbalancer/settings/RequestClass.java
@@ -1,7 +1,7 @@
 package loadbalancer.settings;
 
 /**
- * A class of requests with the same promise to clients. The name of a class comes with each request.
+ * A class of requests that are handled by the same rules. Each request names its class.
  *
  * @param name unique among the classes
  * @param idempotency whether a request may be run more than once
@@ -10,7 +10,7 @@
  * @param deduplicationWindowMicros how long a key is remembered, from the send of the first attempt that may have run
  * @param latencyObjectiveMicros a response within this time has the full priority weight
  * @param latencyObjectiveWorkRatio if positive, the objective grows by this many times the request's own work
- * @param deadlineMicros how long clients wait in all; a single request may leave less
+ * @param deadlineMicros longest time that clients of this class wait; a single request may allow less
  * @param priorityWeight value of a request against those of other classes; where load is shed, low weights go first
  * @param lateWeight part of the priority weight, 0 to 1, of a response between the objective and the deadline
  * @param streaming whether responses are streamed: once a stream has started there is no further attempt
