--- a/src/main/java/loadbalancer/decision/AdmissionControl.java
+++ b/src/main/java/loadbalancer/decision/AdmissionControl.java
@@ -3,14 +3,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides whether an arriving request is admitted. Where the fleet's queues take a good part of the time within which
- * answers are wanted, admitting all would make all late. Requests of low priority are shed first, and the probability
- * rises linearly with the wait, so that the sidecars do not swing in step.
+ * Decides whether an arriving request is admitted. When the expected wait in the fleet's queues nears the latency
+ * objective, admitting all requests would make all of them late. Requests of low priority are shed first. The
+ * probability of shedding rises linearly with the wait, so that the sidecars do not all switch at the same moment.
  */
 final class AdmissionControl {
     /** Nothing is shed while the wait is below this part of the latency objective. */
     private static final double SHED_NONE_RATIO = 0.25;
-    /** All is shed where the wait exceeds this part of it. */
+    /** Everything is shed where the wait exceeds this part of the latency objective. */
     private static final double SHED_ALL_RATIO = 0.75;
 
     private final PolicySettings settings;
@@ -26,6 +26,7 @@
         this.routing = routing;
     }
 
+    /** Whether to turn the request down at once. Draws a random number unless the capacity is 0. */
     boolean shouldShed(long nowMicros, PendingRequest request) {
         double capacity = routing.capacityPerSecond();
         if (capacity <= 0) {
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -1,10 +1,16 @@
 package loadbalancer.decision;
 
-/** One forwarding of a request to an endpoint: what was known at the send, and how it ended. */
+/**
+ * One forwarding of a request to an endpoint: what was known at the send, and how it ended.
+ *
+ * <p>An attempt in flight is <i>overdue</i> when it has taken much longer than forecast, <i>overtaken</i> when its
+ * endpoint has responded to an attempt sent later, and <i>missing</i> when it is overtaken and far beyond the forecast.
+ * It is <i>lost</i> when it is missing or a load report showed that the endpoint does not hold it.
+ */
 final class Attempt {
-    /** In flight for so many times what was expected, an attempt is overdue: its endpoint may not be alive. */
+    /** An attempt is overdue after this many times its forecast time: its endpoint may have stalled. */
     static final double OVERDUE_RATIO = 1.5;
-    /** Overtaken by later answers and in flight for so many times what was expected, an attempt counts as lost. */
+    /** An overtaken attempt is missing after this many times its forecast time. */
     private static final double MISSING_RATIO = 6;
 
     private final PendingRequest request;
@@ -36,7 +42,7 @@
         mayHaveRun = outcome.mayHaveRun;
     }
 
-    /** Notes whether the endpoint reports fewer requests than were sent, this one among the overdue. */
+    /** Called by {@link HedgingPolicy} alone, which compares a load report with the overdue attempts. */
     void setLost(boolean lost) {
         this.lost = lost;
     }
@@ -49,7 +55,7 @@
         return endpoint;
     }
 
-    /** The endpoint's line of the list at the send. */
+    /** The endpoint's entry in the endpoint list at the time of the send. */
     Endpoint listing() {
         return listing;
     }
@@ -80,22 +86,22 @@
         return nowMicros - sentMicros >= OVERDUE_RATIO * forecast.timeMicros();
     }
 
-    /** The endpoint has answered what was sent later: it works, and its queue is past this attempt. */
+    /** Whether the endpoint has responded to an attempt sent later: it works, and its queue is past this attempt. */
     boolean isOvertaken() {
         return endpoint.attempts.hasAnsweredAfter(sentMicros);
     }
 
-    /** Overtaken and in flight for many times longer than expected: lost on its way, not still at work. */
+    /** Whether it is overtaken and so late that it was more likely lost on the network than still being worked on. */
     boolean isMissing(long nowMicros) {
         return isOvertaken() && nowMicros - sentMicros > MISSING_RATIO * forecast.timeMicros();
     }
 
-    /** Whether a time-out of it is a failure of the connection rather than of the endpoint. */
+    /** Whether its timeout would be a failure of the connection rather than of the endpoint. */
     boolean isLost(long nowMicros) {
         return lost || isMissing(nowMicros);
     }
 
-    /** The endpoint has answered another attempt within the time that an answer takes. */
+    /** Whether the endpoint has responded to another attempt within the last few times this attempt's forecast time. */
     boolean isEndpointAnswering(long nowMicros) {
         return nowMicros - endpoint.attempts.answeredMicros() < MISSING_RATIO * forecast.timeMicros();
     }
--- a/src/main/java/loadbalancer/decision/AttemptForecast.java
+++ b/src/main/java/loadbalancer/decision/AttemptForecast.java
@@ -1,10 +1,10 @@
 package loadbalancer.decision;
 
 /**
- * What was expected of an attempt when it was sent.
+ * The estimates for an attempt at the time of its send.
  *
  * @param load requests that the endpoint held before it
- * @param timeMicros time until the answer
- * @param unitSpeedMicros the same for an endpoint of speed factor 1
+ * @param timeMicros expected time until the response, at the endpoint's speed factor
+ * @param unitSpeedMicros expected time until the response, at a speed factor of 1
  */
 record AttemptForecast(double load, double timeMicros, double unitSpeedMicros) {}
--- a/src/main/java/loadbalancer/decision/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcome.java
@@ -1,12 +1,12 @@
 package loadbalancer.decision;
 
-/** How an attempt ended, with what that says about a side effect of the request. */
+/** How an attempt ended, and whether the endpoint may have run the request. */
 public enum AttemptOutcome {
     /** A response that answers the request. */
     OK(true),
     /** The endpoint reported an error of its own. */
     ERROR(true),
-    /** The endpoint turned the attempt away before any work on it. */
+    /** The endpoint refused the attempt before any work on it. */
     REJECTED(false),
     /** No response by the deadline of the attempt. */
     TIMEOUT(true),
@@ -18,7 +18,7 @@
     CANCELLED(true),
     /** The host did not send the attempt: the request was over, or no further attempt was permitted. */
     NOT_SENT(false),
-    /** The endpoint sent something that is no response of the protocol. */
+    /** The endpoint sent bytes that are not a valid response of the protocol. */
     MALFORMED_RESPONSE(true),
     /** The request itself is invalid; this says nothing about the endpoint. */
     INVALID_REQUEST(true);
--- a/src/main/java/loadbalancer/decision/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomes.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Takes the end of an attempt: updates what is known of its endpoint, and decides on the request. */
+/** Handles the outcome of an attempt: updates the estimates of its endpoint, then decides on the request. */
 final class AttemptOutcomes {
     private final EndpointRegistry registry;
     private final RequestTracker requests;
--- a/src/main/java/loadbalancer/decision/AttemptResult.java
+++ b/src/main/java/loadbalancer/decision/AttemptResult.java
@@ -8,7 +8,7 @@
  * @param endpointId the endpoint that it was sent to
  * @param latencyMicros time from the send to the outcome
  * @param requestDone whether the request is over, by this outcome or already before it
- * @param loadReport what the endpoint said of its load with the response, or null
+ * @param loadReport the load report that came with the response, or null
  */
 public record AttemptResult(
         String requestId,
--- a/src/main/java/loadbalancer/decision/AttemptSender.java
+++ b/src/main/java/loadbalancer/decision/AttemptSender.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Sends attempts and notifies the parts that count them. Nothing is sent that the rules forbid. */
+/** Sends attempts and notifies the parts that keep account of them. */
 final class AttemptSender {
     private final RetryEligibility retries;
     private final AttemptForecaster forecaster;
--- a/src/main/java/loadbalancer/decision/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryBackoff.java
@@ -3,12 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when discovery is polled for the endpoint list: once at the start, and after a failed call again with a
- * jittered, exponentially growing delay. Does nothing where lists are pushed.
+ * Decides when discovery is polled for the endpoint list: at the start, and again after each failed call, with a
+ * jittered, exponentially growing delay, until a list arrives. Does nothing where lists are pushed.
  */
 final class DiscoveryBackoff {
     private static final long FIRST_DELAY_MICROS = 500_000;
-    /** A sidecar counts as informed 6 s after discovery recovers; a call that times out takes 2.5 s of them. */
+    /**
+     * Bound on the delay before its jitter of up to half. The first successful call has to come within 6 s after
+     * discovery recovers, and a last call that times out takes 2.5 s of them.
+     */
     private static final long MAX_DELAY_MICROS = 1_000_000;
 
     private final PolicySettings settings;
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Polls unless a call is in progress or a list has come. */
+    /** Polls unless a call is in progress or a list has arrived. */
     void poll() {
         if (!pollInProgress && !listReceived) {
             pollInProgress = true;
@@ -39,7 +42,7 @@
         }
     }
 
-    /** Takes the result of a call. A cached list was not a call's result. */
+    /** Handles the result of a call. A cached list is not the result of a call and changes nothing. */
     void onEndpointList(EndpointListType type) {
         if (!settings.current().polledDiscovery() || type == EndpointListType.CACHED) {
             return;
--- a/src/main/java/loadbalancer/decision/EndpointAvailability.java
+++ b/src/main/java/loadbalancer/decision/EndpointAvailability.java
@@ -1,12 +1,14 @@
 package loadbalancer.decision;
 
-/** Decides whether an endpoint can take a request now: by its health, the rules for sends, and its load. */
+/** Decides whether an endpoint can take a request now, by its health, the rules for sends and its load. */
 final class EndpointAvailability {
-    /** Estimated loads are fractions; below this an endpoint counts as idle. */
+    /** Requests; estimated loads are fractional, and below this an endpoint counts as idle. */
     private static final double IDLE_LOAD = 0.5;
-    /** Sampled loads are whole requests: half a request is the tolerance. */
+    /** Requests; a load this far below the number of cores leaves a core free. */
+    private static final double FREE_CORE_TOLERANCE = 0.5;
+    /** Requests by which a sampled load may exceed the limit: half of one, since sampled loads are whole numbers. */
     private static final double SAMPLED_TOLERANCE = 0.5;
-
+    /** Requests by which an estimated load may exceed the limit. */
     private static final double ESTIMATE_TOLERANCE = 0.01;
 
     private final PolicySettings settings;
@@ -31,6 +33,7 @@
         this.speeds = speeds;
     }
 
+    /** Whether the endpoint is healthy, may be sent the request and has the room that is needed. */
     boolean hasRoom(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
         if (!outliers.isAvailable(endpoint, nowMicros) || !retries.maySend(nowMicros, request, endpoint)) {
             return false;
@@ -39,7 +42,7 @@
         double cores = Math.max(1, endpoint.machineType().cores()) * capacityRatio;
         double load = loads.load(endpoint, nowMicros);
         if (needed == RoomNeeded.FREE_CORE) {
-            return load < Math.max(1, Math.round(cores)) - 0.5;
+            return load < Math.max(1, Math.round(cores)) - FREE_CORE_TOLERANCE;
         }
         double tolerance = settings.samplesLoad() ? SAMPLED_TOLERANCE : ESTIMATE_TOLERANCE;
         if (load + 1 > Math.max(1, LoadEstimator.maxLoad(cores)) + tolerance) {
--- a/src/main/java/loadbalancer/decision/EndpointRouting.java
+++ b/src/main/java/loadbalancer/decision/EndpointRouting.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** The endpoints of one policy and the parts that decide on their shares of the requests, wired together. */
+/** Wires the endpoints of one policy with the parts that decide how requests are split over them. */
 final class EndpointRouting {
     final IdleConnectionGuard idleConnections;
     final EndpointRegistry registry;
--- a/src/main/java/loadbalancer/decision/EndpointSelector.java
+++ b/src/main/java/loadbalancer/decision/EndpointSelector.java
@@ -3,9 +3,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the endpoint for a request: by sampled load where that is affordable, else by HALO_PoD on the estimated load.
- * Where crossing zones has a price, the local zone is drawn from first, or the others for the part of the requests that
- * a crowded zone gives away; then all zones for a free core; then all for any room.
+ * Chooses the endpoint for a request: by sampled load where health checks are allowed and cheap, else by HALO_PoD on
+ * the estimated load.
+ *
+ * <p>Without sampling there are up to three tries. Where crossing zones has a price, the first is among the endpoints
+ * of the local zone or, for the part of the requests that exceeds the zone's share, of the other zones. The second is
+ * among all endpoints with a free core, the third among all with any room.
  */
 final class EndpointSelector {
     private final PolicySettings settings;
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -6,20 +6,26 @@
 import java.util.Map;
 
 /**
- * Decides which endpoints this sidecar keeps connections to: all, or, where connections have a price, of each zone and
- * machine type an arc of an order that all sidecars share. The arc starts at a point of the sidecar's number, so that
- * the subsets are even over the endpoints and a change of the list moves one place at most. Its length follows the
- * sidecar's part of the fleet's rate, so that an endpoint has as many streams at all sizes.
+ * Decides which endpoints this sidecar keeps connections to: all, or, where connections have a price, a subset.
+ *
+ * <p>The endpoints of each zone and machine type form a circle in an order that all sidecars share, and the subset
+ * holds an arc of each circle. The sidecar's index determines where its arcs start, so that the subsets cover the
+ * endpoints evenly and a change of the endpoint list shifts an arc by one place at most. The length of the arcs is
+ * proportional to the sidecar's part of the fleet's rate, so that the number of sidecars that use an endpoint does not
+ * depend on the size of the fleet.
  */
 final class EndpointSubset {
     private static final long UPDATE_MICROS = 500_000;
-    /** Two draws and one in reserve. */
+    /** Least number of endpoints: the two of a draw and one in reserve. */
     private static final int MIN_SIZE = 3;
-    /** The wanted size falls by this at most with each update. */
+    /** With each update the wanted size shrinks to this part of its last value at most. */
     private static final double SHRINK_RATIO = 0.9;
-    /** Multiples of the golden section are evenly spread over a circle. */
+    /** Multiples of this, modulo 1, spread the starts of the arcs evenly over the circle. */
     private static final double GOLDEN_SECTION = 0.6180339887498949;
-    /** Rounds parts of an endpoint so that they come out right over many sidecars, independent of the start. */
+    /**
+     * Multiples of this, modulo 1, decide which sidecars round a fractional length up: on average over the sidecars the
+     * fraction is kept. Differs from {@link #GOLDEN_SECTION} so that rounding and start are independent.
+     */
     private static final double ROUNDING_STEP = 0.7548776662466927;
 
     private final PolicySettings settings;
@@ -31,7 +37,9 @@
     private long updatedMicros;
     private double wantedSize;
 
-    /** Key of a group. Its methods are written out: generated ones are linked at their first call, which takes long. */
+    /**
+     * Key of a circle. The methods are explicit because those of a record are linked at the first call, which is slow.
+     */
     private record ZoneAndType(int zone, String machineType) {
         @Override
         public boolean equals(Object other) {
@@ -57,15 +65,17 @@
         this.idleConnections = idleConnections;
     }
 
+    /** The endpoints of the subset; all ready ones where connections have no price. */
     List<TrackedEndpoint> members() {
         return members;
     }
 
-    /** Makes the next {@link #update} choose anew. */
+    /** Makes the next {@link #update} choose again, however recent the last choice is. */
     void invalidate(long nowMicros) {
         updatedMicros = nowMicros - UPDATE_MICROS - 1;
     }
 
+    /** Updates the zone shares and chooses the subset again, if the last choice is out of date. */
     void update(long nowMicros) {
         if (nowMicros - updatedMicros > UPDATE_MICROS) {
             updatedMicros = nowMicros;
@@ -92,6 +102,7 @@
         return chosen;
     }
 
+    /** The size wanted now; remembers it, so that it can shrink slowly. */
     private double size() {
         double ready = registry.ready().size();
         double arc = RateMath.divide(
@@ -100,7 +111,7 @@
         if (!idleConnections.hasLimit()) {
             return wantedSize;
         }
-        // A connection is kept where it is used twice within the limit.
+        // An idle limit: no more connections than can each be used twice within it.
         double usesInLimit = rates.localPerSecond() * idleConnections.limitMicros();
         double keptConnections = Math.max(1, usesInLimit / (2 * RateMath.MICROS_PER_SECOND));
         return Math.min(keptConnections, wantedSize);
--- a/src/main/java/loadbalancer/decision/EstimateLog.java
+++ b/src/main/java/loadbalancer/decision/EstimateLog.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Writes a line of what the split is made from every few seconds, in the form {@code event key=value ...}. */
+/** Every few seconds, logs the estimates that the split is computed from, in the form {@code event key=value ...}. */
 final class EstimateLog {
     private static final long INTERVAL_MICROS = 5_000_000;
 
--- a/src/main/java/loadbalancer/decision/Estimators.java
+++ b/src/main/java/loadbalancer/decision/Estimators.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.settings.LoadBalancerSettings;
 
-/** The estimators of one policy and the settings that they follow, wired together. */
+/** Wires the settings of one policy with its estimators. */
 final class Estimators {
     final PolicySettings settings = new PolicySettings();
     final GossipState gossip = new GossipState();
--- a/src/main/java/loadbalancer/decision/HaloSplit.java
+++ b/src/main/java/loadbalancer/decision/HaloSplit.java
@@ -5,14 +5,14 @@
  * minimises the mean response time of M/M/1 servers.
  */
 final class HaloSplit {
-    /** The split at rate 0 is the limit of low rates: this part of the capacity stands for it. */
+    /** Eq. (4) divides by the rate: a rate below this part of the capacity, also 0, is replaced by it. */
     private static final double LEAST_LOAD_RATIO = 1e-6;
 
     private HaloSplit() {}
 
     /**
-     * Splits a request rate. Groups whose share would be negative are dropped and the rest is solved again. Beyond the
-     * capacity the split stays proportional to the service rates (Corollary 3).
+     * Splits a request rate. Groups whose part would be negative get nothing, and the equation is solved again for the
+     * others. At and beyond the capacity the split is proportional to the service rates (Corollary 3).
      *
      * @param serverCounts number of servers of each group
      * @param serviceRates requests a second that one server of each group can serve
@@ -57,6 +57,7 @@
         }
     }
 
+    /** Excludes the groups with a negative part; true if there were any. */
     private static boolean dropNegative(double[] parts, boolean[] included) {
         boolean dropped = false;
         for (int i = 0; i < parts.length; i++) {
--- a/src/main/java/loadbalancer/decision/HealthCheckResults.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckResults.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Takes the outcomes of health checks. */
+/** Handles the outcomes of health checks: updates health and load of the endpoint, then serves the queue. */
 final class HealthCheckResults {
     private final EndpointRegistry registry;
     private final HealthChecks healthChecks;
@@ -34,7 +34,7 @@
         if (endpoint == null) {
             return;
         }
-        healthChecks.onAnswer(endpoint);
+        healthChecks.onOutcome(endpoint);
         if (outcome != AttemptOutcome.OK) {
             outliers.recordFailure(nowMicros, endpoint, failureWeight(outcome));
         } else if (report == null) {
--- a/src/main/java/loadbalancer/decision/HealthCheckedSelector.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckedSelector.java
@@ -1,18 +1,21 @@
 package loadbalancer.decision;
 
 /**
- * Chooses an endpoint by sampled load, as HALO_PoD does (section IV-C): both of a drawn pair are asked for a load
- * report by health checks, unless their load is known, and the request waits for the answers. One with a free core
- * takes it; after some pairs without, the less loaded one with room. One that does not answer in time loses.
+ * Chooses an endpoint by sampled load, as HALO_PoD does (section IV-C): a health check asks both endpoints of a drawn
+ * pair for a load report, unless their load is known, and the request waits for the reports. The less loaded one is
+ * chosen if it has a free core; if several pairs had none, it is chosen if it has any room. An endpoint that does not
+ * reply in time is not chosen.
  */
 final class HealthCheckedSelector {
-    /** After so many pairs, one with a short queue will do. */
+    /** From this many pairs on, an endpoint with room is chosen even if it has no free core. */
     private static final int MAX_PAIRS = 3;
-    /** A pair's answers are waited for until the next sweep of the queue. */
+    /** Longest wait for the replies of a pair: until the next sweep of the queue. */
     private static final long WAIT_MICROS = RequestQueue.SWEEP_MICROS;
-    /** Further pairs are drawn ever more rarely, so that a wait costs a bounded number of checks. */
+    /** The pause before each further pair doubles up to this many times, to limit the health checks of a long wait. */
     private static final int MAX_DOUBLINGS = 2;
-    /** A report is good for so many requests that other sidecars may have sent since. */
+    /**
+     * A load report is current while other sidecars have sent the endpoint fewer requests than this since, on average.
+     */
     private static final double MAX_UNSEEN_REQUESTS = 0.15;
 
     private final EndpointRegistry registry;
@@ -23,15 +26,19 @@
     private final EndpointAvailability availability;
     private final PowerOfTwoSelector powerOfTwo;
 
-    /** The pair that a request is compared by. */
+    /** The pair of endpoints that was drawn for a request, and how many pairs were drawn before it. */
     static final class Sampling {
+        /** Null where no pair is being asked. */
         private TrackedEndpoint first;
+        /** Null where only one endpoint had room. */
         private TrackedEndpoint second;
+
         private long askedMicros;
         private long nextPairMicros;
+        /** Pairs that were compared so far. */
         private int pairs;
 
-        /** Whether a pair is being asked for its load. */
+        /** Whether the request waits for the replies of a pair. */
         boolean isInProgress() {
             return first != null;
         }
@@ -59,7 +66,7 @@
         return select(nowMicros, request, slowStartTurn(nowMicros, request));
     }
 
-    /** An endpoint in slow start whose budget gives this sidecar a turn now, or null: it is one of the pair then. */
+    /** An endpoint in slow start that has a free core and may be sent the request now, or null. It joins the pair. */
     private TrackedEndpoint slowStartTurn(long nowMicros, PendingRequest request) {
         for (int i = 0; i < routing.inSlowStart().size(); i++) {
             TrackedEndpoint endpoint = routing.inSlowStart().get(i);
@@ -77,7 +84,7 @@
             sampling.first = null;
             return fresh;
         }
-        if (!drawPair(nowMicros, request, turn) || isAwaited(nowMicros, request)) {
+        if (!ensurePair(nowMicros, request, turn) || isAwaited(nowMicros, request)) {
             return null;
         }
         TrackedEndpoint first = sampling.first;
@@ -86,7 +93,7 @@
         TrackedEndpoint best = lessLoaded(
                 nowMicros, request, knownOrNull(nowMicros, request, first), knownOrNull(nowMicros, request, second));
         if (best == null && reports.lastReportMicros() < sampling.askedMicros) {
-            // No endpoint at all has reported since: the delay is here. Local attempts decide.
+            // No endpoint has reported since: this sidecar itself is late. Compare by local attempts.
             return lessLoaded(nowMicros, request, first, second);
         }
         sampling.pairs++;
@@ -100,7 +107,7 @@
         return null;
     }
 
-    /** Whether a load of the pair is unknown and its report may still come. */
+    /** Whether the load of one of the pair is unknown and its report may still come. */
     private boolean isAwaited(long nowMicros, PendingRequest request) {
         Sampling sampling = request.sampling;
         if (nowMicros - sampling.askedMicros >= WAIT_MICROS) {
@@ -110,8 +117,8 @@
                 || sampling.second != null && !isKnown(nowMicros, request, sampling.second);
     }
 
-    /** Draws a pair and asks for its load, unless one is being asked already; false where there is none now. */
-    private boolean drawPair(long nowMicros, PendingRequest request, TrackedEndpoint turn) {
+    /** Draws a pair and asks for its load, unless one is being asked already; false if none can be drawn now. */
+    private boolean ensurePair(long nowMicros, PendingRequest request, TrackedEndpoint turn) {
         Sampling sampling = request.sampling;
         if (sampling.first != null) {
             return true;
@@ -145,8 +152,8 @@
     }
 
     /**
-     * Whether the endpoint's load is known well enough to compare: reported since the request asked, or so lately that
-     * other sidecars have hardly sent anything since.
+     * Whether the endpoint's load is known well enough to compare: reported since the pair was drawn, or so recently
+     * that other sidecars have hardly sent anything since.
      */
     private boolean isKnown(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
         long reportedMicros = endpoint.reportedLoad.reportedMicros();
--- a/src/main/java/loadbalancer/decision/HealthChecks.java
+++ b/src/main/java/loadbalancer/decision/HealthChecks.java
@@ -1,17 +1,19 @@
 package loadbalancer.decision;
 
-/** Sends health checks, one at a time to an endpoint, and knows which endpoints left an urgent one unanswered. */
+/** Sends health checks, one at a time to each endpoint, and knows which endpoints are unresponsive. */
 final class HealthChecks {
-    /** A health check without an answer for this long may be sent again, and the endpoint is tried again. */
-    private static final long TIMEOUT_MICROS = 100_000;
+    /** A health check that has had no outcome for this long may be sent again. */
+    private static final long RESEND_MICROS = 100_000;
+    /** An endpoint counts as unresponsive for this long after it left a check unanswered. */
+    private static final long UNRESPONSIVE_MICROS = 100_000;
 
     private final LoadBalancerActions actions;
 
     /** The health checks of one endpoint. */
     static final class Progress {
-        /** When a check was sent that has no answer yet; 0 where there is none. */
+        /** When the check was sent that has no outcome yet; 0 if there is none. */
         private long sentMicros;
-
+        /** When a check for an overdue attempt was last found unanswered. */
         private long unansweredMicros = Long.MIN_VALUE / 2;
     }
 
@@ -19,27 +21,28 @@
         this.actions = actions;
     }
 
-    /** Asks for a load report, unless one has just been asked for. */
+    /** Sends a health check, unless one sent recently has no outcome yet. */
     void check(long nowMicros, TrackedEndpoint endpoint) {
-        if (nowMicros - endpoint.healthChecks.sentMicros > TIMEOUT_MICROS) {
+        if (nowMicros - endpoint.healthChecks.sentMicros > RESEND_MICROS) {
             endpoint.healthChecks.sentMicros = nowMicros;
             actions.checkHealth(endpoint.id());
         }
     }
 
-    void onAnswer(TrackedEndpoint endpoint) {
+    /** Notes that the endpoint's health check has an outcome, also a failed one. */
+    void onOutcome(TrackedEndpoint endpoint) {
         endpoint.healthChecks.sentMicros = 0;
     }
 
-    /** Notes that a check sent for an overdue attempt was not answered soon. */
+    /** Notes that a check for an overdue attempt was not answered in time. */
     void markUnresponsive(long nowMicros, TrackedEndpoint endpoint) {
         endpoint.healthChecks.unansweredMicros = nowMicros;
     }
 
-    /** Whether the endpoint has left a check unanswered, not long ago, and has not reported since. */
+    /** Whether the endpoint has recently left a check unanswered and has sent no load report since. */
     static boolean isUnresponsive(TrackedEndpoint endpoint, long nowMicros) {
         long unansweredMicros = endpoint.healthChecks.unansweredMicros;
         return unansweredMicros > endpoint.reportedLoad.reportedMicros()
-                && nowMicros - unansweredMicros < TIMEOUT_MICROS;
+                && nowMicros - unansweredMicros < UNRESPONSIVE_MICROS;
     }
 }
--- a/src/main/java/loadbalancer/decision/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgingPolicy.java
@@ -1,14 +1,15 @@
 package loadbalancer.decision;
 
 /**
- * Decides on hedged requests: a second attempt while the first is in flight. When an attempt is overdue its endpoint
- * gets a health check; only where that stays unanswered, or the endpoint does not hold the request, a second attempt is
- * sent. On an endpoint that is at work it would be wasted. A budget limits them to a small part of the requests.
+ * Decides on hedged requests: a second attempt while the first is in flight. When an attempt is overdue, its endpoint
+ * gets a health check. A second attempt is sent only if the check stays unanswered or shows that the endpoint does not
+ * hold the request; while the endpoint is working on the request, a second attempt would be wasted. A budget limits
+ * hedged requests to a small part of all.
  */
 final class HedgingPolicy {
-    /** Hedged requests for each request. */
+    /** Hedged requests that each arriving request adds to the budget. */
     private static final double BUDGET_RATIO = 0.05;
-    /** The most that is saved up for a bad moment. */
+    /** The most hedged requests that the budget can hold. */
     private static final double MAX_BUDGET = 10;
 
     private final RoutingTable routing;
@@ -18,6 +19,7 @@
     private final AttemptSender sender;
     private final OverdueAttemptTimer overdueTimer;
     private final LoadBalancerActions actions;
+    /** Hedged requests that may be sent now. */
     private double budget;
 
     HedgingPolicy(
@@ -37,12 +39,12 @@
         this.actions = actions;
     }
 
-    /** Adds an arriving request's part to the budget. */
+    /** Adds to the budget for an arriving request. */
     void countArrival() {
         budget = Math.min(MAX_BUDGET, budget + BUDGET_RATIO);
     }
 
-    /** The request's attempt is overdue: checks its endpoint. */
+    /** Handles an overdue attempt: sends its endpoint a health check. */
     void onAttemptOverdue(long nowMicros, PendingRequest request) {
         Attempt attempt = hedgeableAttempt(nowMicros, request);
         if (attempt == null || attempt.endpoint().isRemoved()) {
@@ -53,7 +55,7 @@
         actions.startTimer(TimerNames.HEALTH_CHECK_DUE + request.id(), RequestQueue.SWEEP_MICROS);
     }
 
-    /** The health check of an overdue attempt's endpoint should have been answered: sends a second attempt if not. */
+    /** Handles the end of the wait for that health check: sends a second attempt, or waits on if the endpoint works. */
     void onHealthCheckDue(long nowMicros, PendingRequest request) {
         Attempt attempt = hedgeableAttempt(nowMicros, request);
         if (attempt == null) {
@@ -61,7 +63,7 @@
         }
         TrackedEndpoint endpoint = attempt.endpoint();
         boolean answered = endpoint.reportedLoad.reportedMicros() >= request.overdueCheckMicros();
-        // Answered, and not holding the request: it was lost on its connection, or its response was.
+        // The endpoint replied but holds fewer attempts than were sent: the request or its response was lost.
         boolean lost = answered && endpoint.reportedLoad.lostAttempts() > 0;
         attempt.setLost(lost);
         if (!answered) {
@@ -85,7 +87,7 @@
         }
     }
 
-    /** The only attempt in flight of a request to which a second one could still be of use, or null. */
+    /** The request's attempt in flight, if it is the only one and a second could still respond in time; else null. */
     private Attempt hedgeableAttempt(long nowMicros, PendingRequest request) {
         if (request == null || request.isFinished() || request.isQueued()) {
             return null;
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -4,24 +4,25 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * The decision module of one sidecar. The host reports events by these methods; decisions come out through
- * {@link LoadBalancerActions}, also during a call. Not thread-safe: all calls come from one thread.
+ * The decision module of one sidecar. The host reports events by calling these methods; during such a call the module
+ * makes its decisions known by calling {@link LoadBalancerActions}. Not thread-safe: all calls come from one thread.
  *
  * <p>Times are microseconds of one clock that only moves forward. Nothing else tells the module the time, so that the
  * same events and the same seed give the same decisions.
  */
 public interface LoadBalancer {
     /**
-     * Puts other settings in force, which the host has checked. Requests in progress keep their request class. How
-     * endpoint lists come ({@link LoadBalancerSettings#polledDiscovery}) never changes.
+     * Replaces the settings; the host has checked the new ones. Requests in progress keep their request class.
+     * {@link LoadBalancerSettings#polledDiscovery} must be the same as before.
      */
     void onSettings(long nowMicros, LoadBalancerSettings settings);
 
-    /** Reports an endpoint list, or that it could not be had; {@code endpoints} is empty then. */
+    /** Reports an endpoint list or, with {@link EndpointListType#FAILED} and no endpoints, a failed discovery call. */
     void onEndpointList(long nowMicros, EndpointListType type, List<Endpoint> endpoints);
 
     /**
-     * Takes a request. It is decided by exactly one final action or outcome.
+     * Takes a request. Unless it expires, it gets exactly one final response: a forwarded one, a rejection or a
+     * failure.
      *
      * @throws IllegalArgumentException if the settings have no such request class
      */
@@ -30,17 +31,17 @@
     /** Reports how an attempt ended. */
     void onAttemptOutcome(long nowMicros, AttemptResult result);
 
-    /** The first part of a streamed response was forwarded: from now on there is no other attempt. */
+    /** The first part of a streamed response was forwarded to the client: no further attempt may be sent. */
     void onStreamStart(long nowMicros, String requestId, int attempt, String endpointId, long latencyMicros);
 
     /** Reports the outcome of a health check; {@code loadReport} is null where the endpoint reported no load. */
     void onHealthCheck(
             long nowMicros, String endpointId, AttemptOutcome outcome, long latencyMicros, LoadReport loadReport);
 
-    /** The client has left, or the answer is overdue: the request is over. */
+    /** The client has left or its deadline has passed: the request needs no final response any more. */
     void onRequestExpired(long nowMicros, String requestId);
 
-    /** Takes gossip of another sidecar; a malformed message is ignored. */
+    /** Takes a gossip message from another sidecar; a malformed one is ignored. */
     void onGossip(long nowMicros, int sidecarIndex, byte[] message);
 
     /** A timer started by {@link LoadBalancerActions#startTimer} is due. */
--- a/src/main/java/loadbalancer/decision/LoadBalancerActions.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancerActions.java
@@ -1,19 +1,24 @@
 package loadbalancer.decision;
 
 /**
- * What the decision module may do. Each action takes effect at once, answers nothing and never re-enters the module.
+ * The actions that the decision module can order. The module counts each as done when the method returns; an action
+ * returns no result and must not call the module back. Later results are reported as events.
  */
 public interface LoadBalancerActions {
     /** Forwards the request to the endpoint; the attempt times out at {@code deadlineMicros}. */
     void sendAttempt(String requestId, String endpointId, long deadlineMicros);
 
-    /** Answers finally that nothing has run, with a time after which to come back; 0 names none. */
+    /**
+     * Sends the final response that no endpoint has run the request.
+     *
+     * @param retryAfterMicros time after which the client should retry; 0 if none is given
+     */
     void reject(String requestId, long retryAfterMicros);
 
-    /** Answers finally that the request failed and may have run. */
+    /** Sends the final response that the request has failed and may have run. */
     void fail(String requestId);
 
-    /** Cancels an attempt in flight. */
+    /** Cancels an attempt in flight; no rule orders it yet. */
     void cancelAttempt(String requestId, int attempt);
 
     /** Asks the endpoint for a load report. */
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -5,12 +5,12 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * HALO Power-of-D with D = 2 (HALO paper, section IV-C) in one sidecar: the composition of the rules. Each event is
- * handed to the part that decides on it; no rule stands here.
+ * HALO Power-of-D with D = 2 (HALO paper, section IV-C) in one sidecar. Composes the rules and hands each event to the
+ * part that decides on it; contains no rule itself.
  *
  * <p>{@link RoutingTable} splits the fleet's request rate over the machine types by Eq. (4), {@link EndpointSelector}
- * draws two endpoints of it and takes the less loaded one, {@link RequestScheduler} queues what finds no room, and
- * {@link RetryEligibility} checks every send and rejection.
+ * draws two endpoints from it and takes the less loaded one, {@link RequestScheduler} queues requests for which no
+ * endpoint has room, and {@link RetryEligibility} checks every send and rejection.
  */
 public final class LoadBalancingPolicy implements LoadBalancer {
     private final Estimators estimators;
@@ -24,6 +24,7 @@
     private final GossipSender gossipSender;
     private final GossipReceiver gossipReceiver;
     private final DiscoveryBackoff discovery;
+    // Package-private for the tests.
     final EndpointRegistry endpoints;
     final RetryEligibility retries;
     final RequestTracker requests;
@@ -57,7 +58,7 @@
         discovery.start();
     }
 
-    /** Learned estimates stay, and pending requests keep the request class that they came with. */
+    /** Keeps the learned estimates; pending requests keep the request class that they came with. */
     @Override
     public void onSettings(long nowMicros, LoadBalancerSettings newSettings) {
         apply(newSettings);
--- a/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
+++ b/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
-/** Starts the timers at which an unanswered attempt is looked at for a hedged request. */
+/** Starts the timers at which {@link HedgingPolicy} looks at an attempt that is still in flight. */
 final class OverdueAttemptTimer {
-    /** An endpoint that was found at work is checked again after this part of the expected time. */
+    /** An endpoint that was found to be working is checked again after this part of the forecast time. */
     private static final double RECHECK_RATIO = 0.5;
 
     private final PolicySettings settings;
@@ -15,14 +15,14 @@
         this.actions = actions;
     }
 
-    /** For an attempt that has just been sent; none where a second one would not be allowed. */
+    /** Starts the timer of a new attempt, unless a second attempt would not be allowed. */
     void start(long nowMicros, Attempt attempt) {
         if (settings.hedgesRequests() && retries.isRepeatable(attempt, attempt.endpoint(), nowMicros)) {
             startTimer(attempt, Attempt.OVERDUE_RATIO);
         }
     }
 
-    /** For an attempt that is overdue on an endpoint that is at work. */
+    /** Starts the timer again for an overdue attempt on an endpoint that is working. */
     void restart(Attempt attempt) {
         startTimer(attempt, RECHECK_RATIO);
     }
--- a/src/main/java/loadbalancer/decision/PendingRequest.java
+++ b/src/main/java/loadbalancer/decision/PendingRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import loadbalancer.settings.RequestClass;
 
-/** A request from its acceptance until it has its final answer and no attempt is in flight. */
+/** A request from its acceptance until it has its final response and no attempt is in flight. */
 final class PendingRequest {
     private final Request request;
     private final RequestClass requestClass;
@@ -58,17 +58,20 @@
         return deadlineMicros;
     }
 
-    /** The latency objective, or the deadline where late answers count: an answer after it is of no use. */
+    /** When a response ceases to be useful: the deadline where late responses count, else the latency objective. */
     long usefulUntilMicros() {
         return usefulUntilMicros;
     }
 
-    /** Queued requests are served in this order: by latency objective, those of low priority and retries later. */
+    /**
+     * Sort key of the queue; the least is served first. It is the time of the latency objective, moved later by up to
+     * half an objective for a low priority and by a whole one for a client's retry.
+     */
     long queueOrderMicros() {
         return queueOrderMicros;
     }
 
-    /** All attempts in the order of their sends; an attempt's number is its place. */
+    /** All attempts in the order of their sends; an attempt's number is its index. */
     List<Attempt> attempts() {
         return attempts;
     }
@@ -104,7 +107,7 @@
         return attempts.get(number);
     }
 
-    /** It has its final answer, or nobody waits for one any more. */
+    /** Whether it has its final response or its client no longer waits for one. */
     boolean isFinished() {
         return finished;
     }
@@ -114,7 +117,7 @@
         finished = true;
     }
 
-    /** The first part of its response has been forwarded. */
+    /** Whether the first part of its response has been forwarded. */
     boolean isStreaming() {
         return streaming;
     }
@@ -133,7 +136,7 @@
         this.queued = queued;
     }
 
-    /** When the endpoint of its overdue attempt was checked. */
+    /** When a health check was last sent because its attempt was overdue. */
     long overdueCheckMicros() {
         return overdueCheckMicros;
     }
--- a/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
+++ b/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
@@ -3,15 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * HALO_PoD with D = 2 (section IV-C): two endpoints are drawn by {@code p_i / k_i} among those with room, and the less
- * loaded one is chosen; ties are broken by the same probabilities.
+ * HALO_PoD with D = 2 (section IV-C): two endpoints with room are drawn by their routing weights {@code p_i / k_i}, and
+ * the less loaded one is chosen; ties are broken by the routing weights.
  */
 final class PowerOfTwoSelector {
-    /** Draws in search of room before the whole table is looked through. */
+    /** Random draws for an endpoint with room before all candidates are tested. */
     private static final int MAX_DRAWS = 4;
-    /** Loads by core that differ by less are a tie. */
+    /** Requests per core; sampled loads that differ by no more are a tie. */
     private static final double SAMPLED_TIE = 0.5;
-
+    /** Requests per core; estimated loads that differ by no more are a tie. */
     private static final double ESTIMATE_TIE = 1e-9;
 
     private final PolicySettings settings;
@@ -47,7 +47,7 @@
         return second == null || second == excluded ? first : lessLoaded(nowMicros, first, second);
     }
 
-    /** Draws one endpoint with room by its routing weight, or null: a few draws, then a look at all. */
+    /** Draws one endpoint with room by its routing weight, or null if no candidate has room. */
     TrackedEndpoint draw(
             long nowMicros,
             PendingRequest request,
@@ -72,7 +72,7 @@
         return chosen;
     }
 
-    /** The one with less load by core. */
+    /** The one with less load per core; draws by routing weight if both are about equal. */
     TrackedEndpoint lessLoaded(long nowMicros, TrackedEndpoint first, TrackedEndpoint second) {
         double difference = loadPerCore(nowMicros, first) - loadPerCore(nowMicros, second);
         if (Math.abs(difference) > (settings.samplesLoad() ? SAMPLED_TIE : ESTIMATE_TIE)) {
--- a/src/main/java/loadbalancer/decision/RateMath.java
+++ b/src/main/java/loadbalancer/decision/RateMath.java
@@ -8,7 +8,7 @@
 
     private RateMath() {}
 
-    /** Divides by a number that is not negative; 0 counts as a very small one. */
+    /** Divides by a number that is not negative; one below 1e-9, also 0, is replaced by 1e-9. */
     static double divide(double numerator, double denominator) {
         return numerator / Math.max(MIN_DENOMINATOR, denominator);
     }
--- a/src/main/java/loadbalancer/decision/RequestHandling.java
+++ b/src/main/java/loadbalancer/decision/RequestHandling.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** The parts that decide on requests from their admission to their final answer, wired together. */
+/** Wires the parts that decide on requests from their admission to their final response. */
 final class RequestHandling {
     final RetryEligibility retries;
     final RequestTracker requests;
--- a/src/main/java/loadbalancer/decision/RequestQueue.java
+++ b/src/main/java/loadbalancer/decision/RequestQueue.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The requests that wait for room, in the order in which they are served, and the timer that looks through them. */
+/** The requests that wait for an endpoint with room, in the order of service, and the timer that checks them. */
 final class RequestQueue {
-    /** The queue is looked through this often, to give up in time those that find no room. */
+    /** The queue is checked this often, to give up in time the requests that find no room. */
     static final long SWEEP_MICROS = 5_000;
-    /** A request starts no later than this many expected services before its answer ceases to be useful. */
+    /** Time reserved for the attempt of a queued request, in multiples of its service time at the fastest endpoint. */
     private static final double START_SLACK_RATIO = 1.5;
 
     private final PolicySettings settings;
@@ -22,19 +22,19 @@
         this.actions = actions;
     }
 
-    /** The latest start from which an answer in time can be hoped for. */
+    /** The latest time to send the request for which a useful response can be expected; it is given up from then on. */
     long lastStartMicros(PendingRequest request) {
-        // A request whose pair is asked for its load does not wait yet.
+        // No time is reserved while the request waits for the load reports of its pair.
         double slackMicros = request.sampling.isInProgress()
                 ? 0
                 : START_SLACK_RATIO * routing.bestSpeedFactor() * request.workMicros();
-        long forUsefulAnswer = (long) (request.usefulUntilMicros() - slackMicros);
-        long forSweep =
+        long lastForUsefulResponse = (long) (request.usefulUntilMicros() - slackMicros);
+        long lastForSweep =
                 request.deadlineMicros() - SWEEP_MICROS - 2 * settings.current().clockTickMicros();
-        return Math.min(forSweep, forUsefulAnswer);
+        return Math.min(lastForSweep, lastForUsefulResponse);
     }
 
-    /** Adds a request behind those of the same or an earlier order. */
+    /** Inserts a request by its place in the order of service, behind those of the same place. */
     void add(PendingRequest request) {
         request.setQueued(true);
         int index = requests.size();
@@ -45,7 +45,7 @@
         startSweepTimer();
     }
 
-    /** Removes a request where it is queued. */
+    /** Removes a request if it is queued. */
     void remove(PendingRequest request) {
         if (request.isQueued()) {
             requests.remove(request);
@@ -69,12 +69,12 @@
         return requests.isEmpty();
     }
 
-    /** Takes note that the sweep timer is due. */
+    /** Notes that the sweep timer has fired. */
     void onSweepTimer() {
         sweepTimerRunning = false;
     }
 
-    /** Has the queue looked through later, where anything is in it. */
+    /** Starts the sweep timer if requests are queued and it is not running. */
     void startSweepTimer() {
         if (!sweepTimerRunning && !requests.isEmpty()) {
             sweepTimerRunning = true;
--- a/src/main/java/loadbalancer/decision/RequestRateEstimator.java
+++ b/src/main/java/loadbalancer/decision/RequestRateEstimator.java
@@ -1,11 +1,11 @@
 package loadbalancer.decision;
 
 /**
- * Estimates the requests a second that come to this sidecar, by an exponentially weighted mean, and from it and gossip
- * those that come to the fleet: the arrival rate of Eq. (4).
+ * Estimates the requests a second that arrive at this sidecar, by an exponentially weighted mean, and, with gossip,
+ * those that arrive at the fleet: the arrival rate of Eq. (4).
  */
 final class RequestRateEstimator {
-    /** A burst shows within a second or two. */
+    /** Time constant of the mean: the estimate follows a burst within a second or two. */
     private static final double AVERAGING_MICROS = 2_000_000;
 
     private final PolicySettings settings;
@@ -27,8 +27,9 @@
     }
 
     /**
-     * Takes the arrivals since the last call into the mean. The weights are scaled by their sum since the start, so
-     * that a first request right after the start is no flood.
+     * Updates the mean with the arrivals since the last call, and the fleet's figures from gossip. The weights are
+     * normalised by their sum since the start, so that a first request right after the start does not count as a high
+     * rate.
      */
     void measure(long nowMicros) {
         double passedMicros = Math.max(1, nowMicros - measuredMicros);
--- a/src/main/java/loadbalancer/decision/RequestScheduler.java
+++ b/src/main/java/loadbalancer/decision/RequestScheduler.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Decides for each request at each moment: send it, keep it in the queue, or give it up. */
+/** Decides whether a request is sent, waits in the queue, or gets its final response without being sent. */
 final class RequestScheduler {
     private final PolicySettings settings;
     private final EndpointRegistry registry;
@@ -27,7 +27,7 @@
         this.retries = retries;
     }
 
-    /** Sends an admitted request, or queues it behind those that wait. */
+    /** Sends an admitted request, or queues it. Other requests in the queue go first, unless loads are sampled. */
     void schedule(long nowMicros, PendingRequest request) {
         boolean mayOvertake = queue.isEmpty() || settings.samplesLoad();
         TrackedEndpoint endpoint = mayOvertake ? selector.select(nowMicros, request) : null;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** After an attempt without success: another one where the rules and the time allow, else the final answer. */
+    /** After a failed attempt: sends another or queues the request where rules and time allow it, else gives it up. */
     void retry(long nowMicros, PendingRequest request) {
         if (request.hasAttemptInFlight()) {
             return;
@@ -63,7 +63,7 @@
         return false;
     }
 
-    /** A request with too little time left is given up at once: the next sweep might come after its deadline. */
+    /** Queues the request, or gives it up if too little time is left: the next sweep might come after its deadline. */
     private void enqueue(long nowMicros, PendingRequest request) {
         if (nowMicros >= queue.lastStartMicros(request)) {
             requests.giveUp(request);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Sends queued requests, in order, while there is room. */
+    /** Goes through the queue while there is room: sends requests, and gives up those that are too late. */
     void dispatch(long nowMicros) {
         boolean room = true;
         for (int i = 0; i < queue.size() && room; i++) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Goes through the whole queue: sends what finds room, and gives up what is too late. */
+    /** Goes through the whole queue: sends requests while there is room, and gives up those that are too late. */
     void sweep(long nowMicros) {
         queue.onSweepTimer();
         boolean room = true;
@@ -102,12 +102,18 @@
         queue.startSweepTimer();
     }
 
-    /** Whether the request's lack of room says nothing of others: it is bound by attempts or by its drawn pair. */
+    /**
+     * Whether others may find room where this request does not: it is limited by earlier attempts or its drawn pair.
+     */
     private boolean isRestricted(PendingRequest request) {
         return settings.samplesLoad() || request.hasAttempts();
     }
 
-    /** Takes the request out of the queue where it is sent or given up, and says whether it was. */
+    /**
+     * Sends the queued request to the endpoint, or gives it up if there is no endpoint and it is too late.
+     *
+     * @return whether the request has left the queue
+     */
     private boolean sendOrGiveUp(long nowMicros, int index, TrackedEndpoint endpoint) {
         PendingRequest request = queue.get(index);
         if (endpoint == null && nowMicros < queue.lastStartMicros(request)) {
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import loadbalancer.settings.RequestClass;
 
-/** The requests that are pending, and their final answers: each has exactly one. */
+/** The pending requests, and their final responses: each gets exactly one. */
 final class RequestTracker {
     private final PolicySettings settings;
     private final WorkEstimator work;
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Takes up a request.
+     * Starts to track a request, and counts its work in the mean.
      *
      * @throws IllegalArgumentException if the settings have no such request class
      */
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Ends a request whose client waits no longer. */
+    /** Ends a request whose client no longer waits. */
     void expire(String id) {
         PendingRequest request = pending.get(id);
         if (request != null) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Answers a request that finds no room in time: it is rejected where nothing has run, else it fails. */
+    /** Ends a request that can't be served in time: rejects it where no endpoint can have run it, else fails it. */
     void giveUp(PendingRequest request) {
         if (!retries.mayReject(request)) {
             fail(request);
@@ -77,6 +77,7 @@
                 request.id(), Math.min(retryAfterMicros, settings.limits().maxRetryAfterMicros()));
     }
 
+    /** Sends the final response that the request has failed, unless it is finished. */
     void fail(PendingRequest request) {
         if (!request.isFinished()) {
             finish(request);
@@ -84,7 +85,7 @@
         }
     }
 
-    /** Notes that a request needs no further decision; it is kept until its last attempt has ended. */
+    /** Notes that a request needs no further decision; it stays tracked until its last attempt has ended. */
     void finish(PendingRequest request) {
         request.markFinished();
         queue.remove(request);
--- a/src/main/java/loadbalancer/decision/RetryEligibility.java
+++ b/src/main/java/loadbalancer/decision/RetryEligibility.java
@@ -4,8 +4,8 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * Keeps the rules on what may be sent, sent again and rejected; every send and every rejection is checked here. A
- * request that may have run is repeated only where the repetition has no second effect, and is never rejected, since a
+ * The rules on what may be sent, retried and rejected; every send, also a first one, and every rejection is checked
+ * here. A request that may have run is sent again only where that has no second effect, and is never rejected, since a
  * rejection promises that nothing has run.
  */
 final class RetryEligibility {
@@ -50,7 +50,7 @@
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        // It has to arrive within the window, also where it needs a new connection.
+        // The retry must arrive within the window even if it needs a new connection.
         long arrivalMicros = nowMicros + settings.limits().connectTimeoutMicros();
         if (requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT
                 || arrivalMicros - earlier.sentMicros() >= requestClass.deduplicationWindowMicros()) {
--- a/src/main/java/loadbalancer/decision/RoomNeeded.java
+++ b/src/main/java/loadbalancer/decision/RoomNeeded.java
@@ -2,8 +2,8 @@
 
 /** How much room an endpoint needs to be drawn. */
 enum RoomNeeded {
-    /** A core that is not at work. */
+    /** A core that runs no request. */
     FREE_CORE,
-    /** Fewer requests than the most that it should hold, and an answer in time. */
+    /** Fewer requests than its load limit, and a response expected in time. */
     BELOW_LIMIT
 }
--- a/src/main/java/loadbalancer/decision/RoutingRefresh.java
+++ b/src/main/java/loadbalancer/decision/RoutingRefresh.java
@@ -1,8 +1,11 @@
 package loadbalancer.decision;
 
-/** Keeps the request rates, panic mode, the subset and the routing table current; asked before each decision. */
+/**
+ * Updates the request rates, panic mode, the subset and the routing table when they are out of date, and writes the
+ * regular log line of the estimates. Called before each decision.
+ */
 final class RoutingRefresh {
-    /** Well under the seconds in which speeds and rates change. */
+    /** Speeds and rates change within seconds; this is short against that. */
     private static final long INTERVAL_MICROS = 100_000;
 
     private final RequestRateEstimator rates;
@@ -25,12 +28,12 @@
         this.routing = routing;
     }
 
-    /** Makes the next {@link #refresh} solve anew. */
+    /** Makes the next {@link #refresh} update, however recent the last update is. */
     void invalidate(long nowMicros) {
         refreshedMicros = nowMicros - INTERVAL_MICROS;
     }
 
-    /** Solves anew where the last solution is old. */
+    /** Updates everything if the last update is older than the interval. */
     void refresh(long nowMicros) {
         if (nowMicros - refreshedMicros < INTERVAL_MICROS) {
             return;
--- a/src/main/java/loadbalancer/decision/RoutingTable.java
+++ b/src/main/java/loadbalancer/decision/RoutingTable.java
@@ -6,12 +6,15 @@
 import java.util.Map;
 
 /**
- * Solves Eq. (4) for the estimates of the moment and keeps the endpoints to draw from with their probabilities
- * {@code p_i / k_i} (HALO_PoD, section IV-C). The groups are the machine types; an endpoint that deviates from its type
- * or is in slow start is a group of its own.
+ * Solves Eq. (4) with the current estimates and keeps the endpoints to draw from with their probabilities {@code p_i /
+ * k_i} (HALO_PoD, section IV-C): the group's part of the requests, divided by its number of endpoints. The groups are
+ * the machine types; an endpoint that deviates from its type or is in slow start is a group of its own.
  */
 final class RoutingTable {
-    /** Endpoints without a share keep this part of their rate: it counts when all with a share are full. */
+    /**
+     * Endpoints to which Eq. (4) gives nothing get this part of their service rate as weight: they are drawn when all
+     * others are full.
+     */
     private static final double MIN_WEIGHT_RATIO = 1e-6;
 
     private final PolicySettings settings;
@@ -48,7 +51,7 @@
         this.slowStart = slowStart;
     }
 
-    /** Replaces the table by a new solution. */
+    /** Replaces the table by a new solution; sets the routing weight of each endpoint. */
     void solve(long nowMicros) {
         clear();
         for (MachineTypeEstimate machineType : registry.machineTypes()) {
@@ -98,7 +101,7 @@
         return groups;
     }
 
-    /** Requests a second that one endpoint of the group serves. */
+    /** Requests a second that one endpoint of the group can serve. */
     private double serviceRate(List<TrackedEndpoint> group, long nowMicros) {
         TrackedEndpoint first = group.get(0);
         double speedFactorSum = 0;
@@ -143,12 +146,12 @@
         return all;
     }
 
-    /** Those of the local zone; empty where crossing zones has no price. */
+    /** The members of the local zone; empty where crossing zones has no price. */
     WeightedSampler inLocalZone() {
         return inLocalZone;
     }
 
-    /** Those of the other zones; empty where crossing zones has no price. */
+    /** The members of the other zones; empty where crossing zones has no price. */
     WeightedSampler inOtherZones() {
         return inOtherZones;
     }
@@ -163,12 +166,12 @@
         return bestSpeedFactor;
     }
 
-    /** Cores of the fleet's endpoints that are not ejected, as far as slow start lets them be used. */
+    /** Cores of all ready endpoints that are not ejected, times the part that slow start leaves of each. */
     double cores() {
         return cores;
     }
 
-    /** Requests a second that the fleet's endpoints serve, without the ejected ones. */
+    /** Requests a second that all ready endpoints that are not ejected can serve. */
     double capacityPerSecond() {
         return capacity;
     }
--- a/src/main/java/loadbalancer/decision/SlowStart.java
+++ b/src/main/java/loadbalancer/decision/SlowStart.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.settings.EndpointRules;
 
-/** The part of its full capacity that an endpoint surely has after its start: the slowest ramp the rules allow. */
+/** The part of its full capacity that an endpoint has at least after its start: the slowest ramp the rules allow. */
 final class SlowStart {
     private final PolicySettings settings;
 
@@ -10,7 +10,7 @@
         this.settings = settings;
     }
 
-    /** From the initial ratio of the rules up to 1, linearly over the time of the slow start. */
+    /** Rises linearly from the rules' initial ratio to 1 over the time of the slow start; 1 outside it. */
     double capacityRatio(TrackedEndpoint endpoint, long nowMicros) {
         long startedMicros = endpoint.listing().startedMicros();
         EndpointRules rules = settings.rules();
--- a/src/main/java/loadbalancer/decision/SlowStartBudget.java
+++ b/src/main/java/loadbalancer/decision/SlowStartBudget.java
@@ -4,20 +4,23 @@
 
 /**
  * Limits what this sidecar sends to an endpoint in slow start, so that all sidecars together stay below the load that
- * counts as overload. Half an overload window is a slot. In each slot the sidecars may send as many mean requests as a
- * third of the window's budget holds, since a window meets three slots: each an equal part, and what is left over by
- * turns of sidecar number, endpoint and slot. Where load reports are sampled, the turns come one after another in the
- * slot, so that each sees the effect of the last, and the budget is twice as large.
+ * counts as overload.
+ *
+ * <p>Time since the endpoint's start is divided into slots of half an overload window. A window overlaps up to three
+ * slots, so the sidecars together may send a third of the window's budget in each slot, counted in requests of mean
+ * work. Each sidecar gets an equal part; the remainder is given out in turns, whose order is computed from the
+ * sidecar's index, the endpoint and the slot. Where load reports are sampled, the turns follow one another within the
+ * slot, so that each sidecar sees the effect of the one before, and the budget of a slot is twice as large.
  */
 final class SlowStartBudget {
-    /** Costs are estimates: a part of the budget stays unused. */
+    /** The part of the budget that is used; the rest is a margin because the work of requests is an estimate. */
     private static final double BUDGET_RATIO = 0.9;
 
     private static final double SLOTS_PER_WINDOW = 3;
     private static final double SLOTS_PER_WINDOW_SAMPLED = 1.5;
-    /** A slot is half a window. */
+    /** Overload window, in microseconds, whose slot (half the window) lasts one second. */
     private static final double WINDOW_MICROS_PER_SLOT_SECOND = 2 * RateMath.MICROS_PER_SECOND;
-    /** Sampled turns are spread over this part of a window. */
+    /** Where load reports are sampled, the turns of a slot are spread over the window divided by this. */
     private static final int TURN_SPREAD_DIVISOR = 4;
 
     private final PolicySettings settings;
@@ -26,7 +29,7 @@
     private final RequestRateEstimator rates;
     private final RoutingTable routing;
 
-    /** The work that this sidecar sent an endpoint in the latest slot. */
+    /** The work that this sidecar sent to an endpoint in the latest slot. */
     static final class SentWork {
         private long slot;
         private double workMicros;
@@ -45,7 +48,7 @@
         this.routing = routing;
     }
 
-    /** Whether the endpoint may be sent so much work now; always where it is not in slow start. */
+    /** Whether the endpoint may be sent a request of this work now; always true outside slow start. */
     boolean allows(TrackedEndpoint endpoint, double workMicros, long nowMicros) {
         if (slowStart.capacityRatio(endpoint, nowMicros) >= 1) {
             return true;
@@ -69,7 +72,7 @@
         return sentMicros == 0 || sentMicros + workMicros <= localRequests * work.meanWorkMicros();
     }
 
-    /** Counts work that was sent. */
+    /** Adds sent work to the current slot. */
     void recordSend(TrackedEndpoint endpoint, double workMicros, long nowMicros) {
         SentWork sent = endpoint.slowStartWork;
         long slot = slot(endpoint, nowMicros);
@@ -85,14 +88,15 @@
         return settings.rules().overloadWindowMicros() / 2;
     }
 
-    /** Mean requests that all sidecars together may send in the slot. */
+    /** Requests of mean work that all sidecars together may send in the slot. */
     private long fleetRequests(TrackedEndpoint endpoint, long slotStartMicros) {
         EndpointRules rules = settings.rules();
         MachineTypeEstimate machineType = endpoint.machineType();
-        double capacity = slowStart.capacityRatio(endpoint, slotStartMicros)
+        double standardCores = slowStart.capacityRatio(endpoint, slotStartMicros)
                 * Math.max(1, machineType.cores())
                 / machineType.speedFactor();
-        double windowBudgetMicros = BUDGET_RATIO * rules.overloadMultiple() * capacity * rules.overloadWindowMicros();
+        double windowBudgetMicros =
+                BUDGET_RATIO * rules.overloadMultiple() * standardCores * rules.overloadWindowMicros();
         double slots = settings.samplesLoad() ? SLOTS_PER_WINDOW_SAMPLED : SLOTS_PER_WINDOW;
         return (long) (windowBudgetMicros / slots / work.meanWorkMicros());
     }
@@ -113,15 +117,16 @@
         return settings.rules().overloadWindowMicros() / TURN_SPREAD_DIVISOR / Math.max(1, fleetRequests);
     }
 
-    /** The most that this sidecar sends in a slot: by its part of the fleet's rate, and one more. */
+    /** Most requests that this sidecar sends in its turn: its part, by rate, of the slot's requests, and one more. */
     private long maxRequestsPerTurn(long fleetRequests) {
         return 1 + (long) RateMath.divide(fleetRequests * rates.localPerSecond(), rates.fleetPerSecond());
     }
 
     /**
-     * How many sidecars have a turn in a slot with fewer requests than sidecars. Most would not draw the endpoint in
-     * their turn: there are so many turns that what they draw, limited by the most that each sends, comes to the slot's
-     * requests. An endpoint in slow start has nothing to do and so wins when it is one of the two drawn.
+     * How many sidecars have a turn in a slot with fewer requests than sidecars. Most sidecars do not draw the endpoint
+     * during their turn. The number of turns is therefore chosen so that the expected draws, limited by the most that
+     * each sidecar sends, add up to the slot's requests. The endpoint is assumed idle, so that it is chosen whenever it
+     * is one of the two drawn.
      */
     private double turns(TrackedEndpoint endpoint, long fleetRequests) {
         double fleetRate = rates.fleetPerSecond();
--- a/src/main/java/loadbalancer/decision/ZoneShares.java
+++ b/src/main/java/loadbalancer/decision/ZoneShares.java
@@ -1,8 +1,9 @@
 package loadbalancer.decision;
 
 /**
- * Decides which part of the local requests goes to each zone: in proportion to its ready endpoints, or, where crossing
- * zones has a price, all to the local zone except what exceeds its part of the fleet's rate. Without gossip none cross.
+ * Decides which part of the local requests goes to each zone. Without a price for crossing zones, the parts are
+ * proportional to the zones' ready endpoints. With a price, all requests stay in the local zone except those by which
+ * its sidecars together exceed its part of the fleet's rate; without gossip, all stay.
  */
 final class ZoneShares {
     private final PolicySettings settings;
@@ -43,6 +44,7 @@
         shares[localZone] = localShare;
     }
 
+    /** The part of the local requests, 0 to 1, that goes to the zone. */
     double share(int zone) {
         return shares[zone];
     }
