--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -88,7 +88,7 @@
 
     /** Whether the endpoint has responded to an attempt sent later: it works, and its queue is past this attempt. */
     boolean isOvertaken() {
-        return endpoint.attempts.hasAnsweredAfter(sentMicros);
+        return endpoint.attempts.hasAnsweredOneSentAfter(sentMicros);
     }
 
     /** Whether it is overtaken and so late that it was more likely lost on the network than still being worked on. */
--- a/src/main/java/loadbalancer/decision/Endpoint.java
+++ b/src/main/java/loadbalancer/decision/Endpoint.java
@@ -8,7 +8,7 @@
  * @param machineType endpoints of one machine type have about the same speed and number of cores
  * @param cell number of the endpoint's cell, the smallest deduplication scope; -1 if unknown
  * @param startedMicros time of the latest start on the module's clock; 0 if that was long ago
- * @param weight figure from the list for comparison with other endpoints, without a unit
+ * @param weight figure from the list for comparison with other endpoints, without a unit; no rule uses it
  * @param state whether the endpoint takes requests
  */
 public record Endpoint(
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -9,7 +9,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The endpoints of the lists so far and their machine types. Removed ones stay until their last attempt has ended. */
+/**
+ * The endpoints of all lists so far and their machine types. A removed one is kept until its last attempt has ended.
+ */
 final class EndpointRegistry {
     private final PolicySettings settings;
     private final IdleConnectionGuard idleConnections;
@@ -22,7 +24,7 @@
         this.idleConnections = idleConnections;
     }
 
-    /** Takes up machine types and zone numbers of the settings. What was learned stays. */
+    /** Adds the settings' machine types and updates zone numbers. Estimates are kept. */
     void onSettings() {
         for (String name : settings.current().machineTypes()) {
             machineTypeOrNew(name);
@@ -32,7 +34,7 @@
         }
     }
 
-    /** Takes a list. Endpoints that a full list does not name are removed. */
+    /** Applies a list. Endpoints that a full or cached list does not name are removed. */
     void onEndpointList(EndpointListType type, List<Endpoint> listings) {
         Set<String> named = new HashSet<>();
         for (Endpoint listing : listings) {
@@ -65,7 +67,7 @@
         return machineType;
     }
 
-    /** Collects the ready endpoints, for a subset in the order that all sidecars share. */
+    /** Collects the ready endpoints; where a subset is used, in the order that all sidecars share. */
     void updateReady() {
         ready.clear();
         for (TrackedEndpoint endpoint : endpoints.values()) {
@@ -78,7 +80,7 @@
         }
     }
 
-    /** Forgets a removed endpoint after its last attempt. */
+    /** Forgets the endpoint if it is removed and has no attempt in flight. */
     void forgetIfDone(TrackedEndpoint endpoint) {
         if (endpoint.isForgettable()) {
             endpoints.remove(endpoint.id(), endpoint);
@@ -90,7 +92,7 @@
         return endpoints.get(id);
     }
 
-    /** Number of endpoints, removed ones with attempts in flight among them. */
+    /** Number of endpoints, including removed ones with attempts in flight. */
     int size() {
         return endpoints.size();
     }
--- a/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
 /**
- * Estimates how many requests the endpoints hold for all sidecars, from local attempts and gossip: the local part of an
- * endpoint's queue may be small.
+ * Estimates how many requests of all sidecars the endpoints hold, from local attempts and gossip: the local attempts
+ * may be a small part of an endpoint's queue.
  */
 final class FleetLoadEstimator {
     private final PolicySettings settings;
@@ -24,7 +24,7 @@
         this.routing = routing;
     }
 
-    /** Requests that endpoints hold for this sidecar; those on endpoints out of the draw delay nobody. */
+    /** Requests of this sidecar that ready endpoints hold, without ejected ones, where no new request would wait. */
     double localInFlight(long nowMicros) {
         double inFlight = 0;
         for (TrackedEndpoint endpoint : attempts.busyEndpoints()) {
@@ -35,12 +35,14 @@
         return inFlight;
     }
 
-    /** The mean of this sidecar and its live peers, times the number of sidecars. */
+    /** Requests of all sidecars: the mean of this one and its live peers, times the number of sidecars. */
     double fleetInFlight(long nowMicros) {
-        return settings.sidecarCount() * (localInFlight(nowMicros) + gossip.remoteInFlight()) / (livePeers() + 1);
+        return settings.sidecarCount() * (localInFlight(nowMicros) + gossip.livePeersInFlight()) / (livePeers() + 1);
     }
 
-    /** Requests of other sidecars on an endpoint that reports no load, by its part of the cores in service. */
+    /**
+     * Requests of other sidecars on one endpoint, by its part of all cores; 0 where load reports or gossip rule it out.
+     */
     double remoteInFlight(TrackedEndpoint endpoint, long nowMicros) {
         if (settings.hasLoadReports()
                 || livePeers() == 0
@@ -54,7 +56,7 @@
                 / routing.cores();
     }
 
-    /** The number of peers that the estimate rests on. */
+    /** Number of live peers behind the estimate. */
     int livePeers() {
         return gossip.livePeers();
     }
--- a/src/main/java/loadbalancer/decision/GossipMessage.java
+++ b/src/main/java/loadbalancer/decision/GossipMessage.java
@@ -5,22 +5,26 @@
 import java.util.List;
 
 /**
- * What one sidecar says to another, and its encoding: fixed-point numbers of two bytes, values that are too large as
- * the largest one.
+ * The message that one sidecar sends to others, and its encoding. Most numbers are unsigned fixed-point numbers of two
+ * bytes; a value that is too large is encoded as the largest.
  *
  * @param zone the sender's zone, by the zone's number in the settings
- * @param ratePerSecond requests a second that come to the sender
- * @param inFlight requests that endpoints hold for the sender
- * @param machineTypes what the sender learned of each machine type, in the order of the settings
- * @param idleLimitMicros idle connections are dropped after about this long; 0 if the sender saw no such failure
+ * @param ratePerSecond requests a second that arrive at the sender
+ * @param inFlight requests of the sender that endpoints hold
+ * @param machineTypes the sender's estimates of each machine type, in the order of the settings
+ * @param idleLimitMicros the network drops connections that are idle for about this long; 0 if the sender saw no such
+ *     failure
  */
 record GossipMessage(
         int zone, double ratePerSecond, double inFlight, List<MachineTypeSample> machineTypes, long idleLimitMicros) {
 
     private static final int MAX_SHORT = 65_535;
     private static final int MAX_BYTE = 255;
+    /** Rates are encoded in eighths of a request a second. */
     private static final double RATE_UNITS_PER_REQUEST = 8.0;
+    /** Speed factors and cores are encoded in 256ths. */
     private static final double SAMPLE_UNITS = 256.0;
+
     private static final double MICROS_PER_MILLI = 1_000.0;
     /** Zone, rate, in-flight requests and idle limit. */
     private static final int FIXED_BYTES = 7;
@@ -28,9 +32,9 @@
     private static final int BYTES_PER_MACHINE_TYPE = 5;
 
     /**
-     * What a sidecar learned of one machine type.
+     * A sidecar's estimates of one machine type, as defined at {@link MachineTypeEstimate}.
      *
-     * @param answers number of answers behind the estimates, up to 255
+     * @param answers number of responses behind the estimates, up to 255
      */
     record MachineTypeSample(double speedFactor, double cores, int answers) {}
 
@@ -52,7 +56,7 @@
      * Decodes a message.
      *
      * @param machineTypeCount number of machine types in the settings
-     * @return null where the bytes are no message of so many machine types
+     * @return null if the length is not that of a message with this many machine types
      */
     static GossipMessage decode(byte[] bytes, int machineTypeCount) {
         if (bytes.length != encodedLength(machineTypeCount)) {
--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -2,9 +2,11 @@
 
 import java.util.List;
 
-/** Takes the estimates of other sidecars, within what is plausible: a false message must not do much harm. */
+/**
+ * Handles gossip from other sidecars. Bounds its values to what is plausible, so that a wrong message does little harm.
+ */
 final class GossipReceiver {
-    /** A rate of more than so many times the tenants' quotas is not believed. */
+    /** A rate is limited to this many times the sum of the tenants' quotas. */
     private static final double MAX_QUOTA_RATIO = 5;
 
     private final PolicySettings settings;
@@ -23,7 +25,7 @@
         this.idleConnections = idleConnections;
     }
 
-    /** Takes a message; one that is malformed or of an unknown sidecar is ignored. */
+    /** Handles a message; one that is malformed or from an unknown sidecar is ignored. */
     void onMessage(long nowMicros, int sidecarIndex, byte[] bytes) {
         List<String> machineTypes = settings.current().machineTypes();
         GossipMessage message = isPeer(sidecarIndex) ? GossipMessage.decode(bytes, machineTypes.size()) : null;
@@ -51,7 +53,7 @@
         return quotas > 0 ? Math.min(ratePerSecond, MAX_QUOTA_RATIO * quotas) : ratePerSecond;
     }
 
-    /** Endpoints hold no more for a sidecar than what came to it within the longest deadline. */
+    /** A sidecar can't have more requests in flight than arrived within the longest deadline, and one more. */
     private double plausibleInFlight(double inFlight, double ratePerSecond) {
         return Math.min(inFlight, 1 + ratePerSecond * settings.longestDeadlineMicros() / RateMath.MICROS_PER_SECOND);
     }
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -5,18 +5,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Sends this sidecar's estimates to the others at intervals: to all while all messages together cost little, else to
- * some at random, since the means that are made of them need a sample only.
+ * Sends this sidecar's estimates to the others at intervals: to all if that costs little, else to some at random, which
+ * is enough because the receivers compute means over a sample of the sidecars.
  */
 final class GossipSender {
     private static final long INTERVAL_MICROS = 500_000;
-    /** Points of the result that all gossip together may cost for each request. */
-    private static final double MAX_PRICE_PER_REQUEST = 0.002;
-    /** The price is for as many bytes. */
+    /** The part of the service's total value that gossip may cost. */
+    private static final double MAX_TOTAL_PRICE = 0.002;
+    /** The price of gossip is for this many bytes per request. */
     private static final int PRICED_BYTES = 256;
-    /** The most datagrams to single sidecars at a time. */
+    /** Most messages to single sidecars in one interval. */
     private static final int MAX_DATAGRAMS = 16;
-    /** The receiver that stands for all. */
+    /** Receiver index of a message to all other sidecars. */
     private static final int ALL_SIDECARS = -1;
 
     private final PolicySettings settings;
@@ -43,15 +43,15 @@
         idleConnections = routing.idleConnections;
     }
 
-    /** Starts to send, at a random phase, where the settings want gossip. */
-    void startIfWanted() {
+    /** Starts the timer at a random phase, if the settings allow gossip and it is not running. */
+    void startIfAllowed() {
         if (!timerRunning && settings.sendsGossip()) {
             timerRunning = true;
             actions.startTimer(TimerNames.GOSSIP, INTERVAL_MICROS / 2 + random.nextLong(INTERVAL_MICROS));
         }
     }
 
-    /** Sends, and starts the timer again, unless gossip is no longer wanted. */
+    /** Measures the rate, sends gossip and starts the timer again, unless the settings no longer allow gossip. */
     void onTimer(long nowMicros) {
         timerRunning = settings.sendsGossip();
         if (!timerRunning) {
@@ -82,11 +82,11 @@
                 idleConnections.locallySeenLimitMicros(nowMicros));
     }
 
-    /** Messages that this sidecar may send now: each pays for its part of the fleet's requests. */
+    /** Messages that this sidecar can afford in an interval; each sidecar gets an equal part of the fleet's budget. */
     private double affordableMessages(int bytes) {
         double price = settings.prices().gossip() * bytes / PRICED_BYTES;
         double pricePerSecond = price * RateMath.MICROS_PER_SECOND / INTERVAL_MICROS;
-        double budgetPerSecond = MAX_PRICE_PER_REQUEST * rates.fleetPerSecond() / settings.sidecarCount();
+        double budgetPerSecond = MAX_TOTAL_PRICE * rates.fleetPerSecond() / settings.sidecarCount();
         return RateMath.divide(budgetPerSecond, pricePerSecond);
     }
 
--- a/src/main/java/loadbalancer/decision/GossipState.java
+++ b/src/main/java/loadbalancer/decision/GossipState.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * What gossip tells of the fleet: the sum of the in-flight requests of live peers and the mean request rate of the
- * sidecars by zone. Messages get lost, and a sidecar that was killed says nothing any more: old ones do not count.
+ * The last gossip of each sidecar, and a summary of it: the sum of the live peers' in-flight requests and the mean
+ * request rate of a sidecar by zone. Gossip older than 5 s does not count, since its sender may have stopped.
  */
 final class GossipState {
     private static final long PEER_LIVE_MICROS = 5_000_000;
@@ -13,7 +13,7 @@
     private double[] zoneRates;
     private double meanRate;
     private int livePeers;
-    private double remoteInFlight;
+    private double livePeersInFlight;
 
     /** Forgets all peers, whose numbers may belong to other sidecars under new settings. */
     void reset(int sidecarCount, int zoneCount) {
@@ -31,14 +31,14 @@
         Arrays.fill(zoneRates, 0);
         zoneRates[localZone] = localRate;
         livePeers = 0;
-        remoteInFlight = 0;
+        livePeersInFlight = 0;
         for (GossipPeer peer : peers) {
             if (peer == null || nowMicros - peer.receivedMicros() > PEER_LIVE_MICROS) {
                 continue;
             }
             livePeers++;
             zoneRates[peer.zone()] += peer.ratePerSecond();
-            remoteInFlight += peer.inFlight();
+            livePeersInFlight += peer.inFlight();
         }
         for (int zone = 0; zone < zoneRates.length; zone++) {
             zoneRates[zone] /= livePeers + 1;
@@ -50,12 +50,12 @@
         return zoneRates.length;
     }
 
-    /** The zone's part of {@link #meanRate}. */
+    /** The zone's part of {@link #meanRate}, in requests a second. */
     double zoneRate(int zone) {
         return zoneRates[zone];
     }
 
-    /** Mean requests a second of a sidecar, live peers and this one; 0 before the first summary. */
+    /** Mean requests a second of one sidecar, over the live peers and this one; 0 before the first summary. */
     double meanRate() {
         return meanRate;
     }
@@ -65,8 +65,8 @@
         return livePeers;
     }
 
-    /** Requests that endpoints hold for the live peers. */
-    double remoteInFlight() {
-        return remoteInFlight;
+    /** Sum of the requests of the live peers that endpoints hold. */
+    double livePeersInFlight() {
+        return livePeersInFlight;
     }
 }
--- a/src/main/java/loadbalancer/decision/HealthChecks.java
+++ b/src/main/java/loadbalancer/decision/HealthChecks.java
@@ -14,7 +14,7 @@
         /** When the check was sent that has no outcome yet; 0 if there is none. */
         private long sentMicros;
         /** When a check for an overdue attempt was last found unanswered. */
-        private long unansweredMicros = Long.MIN_VALUE / 2;
+        private long unansweredMicros = RateMath.NEVER_MICROS;
     }
 
     HealthChecks(LoadBalancerActions actions) {
--- a/src/main/java/loadbalancer/decision/IdleConnectionGuard.java
+++ b/src/main/java/loadbalancer/decision/IdleConnectionGuard.java
@@ -1,25 +1,32 @@
 package loadbalancer.decision;
 
 /**
- * Decides when idle connections to an endpoint are closed: where it drains, and before they are used after longer than
- * the network seems to keep them. An attempt that fails on a connection long idle tells of the connection, not of the
- * endpoint; others idle as long are then closed before use, until no such failure was seen for a while.
+ * Decides when idle connections to an endpoint are closed: when it drains, and before a use after they have been idle
+ * for longer than the network seems to keep them. A failure on a connection that was idle for long is blamed on the
+ * connection, not on the endpoint. It sets a limit; connections that were idle for longer than the limit are closed
+ * before use, until no such failure has been seen for a while.
  */
 final class IdleConnectionGuard {
     /** A connection idle for less than this is not suspected of having been dropped. */
     private static final long MIN_LIMIT_MICROS = 200_000;
 
+    /** The limit is doubled when it has not been confirmed for this long. */
     private static final long FORGET_MICROS = 5_000_000;
-    /** A connection that was kept tells of the others for this long. */
+    /** For this long, a connection that worked after being idle shows that others are kept as well. */
     private static final long KEPT_MICROS = 3_000_000;
 
     private final PolicySettings settings;
     private final LoadBalancerActions actions;
+    /** Longest idle time after which a connection is used; the maximum value stands for no limit. */
     private long limitMicros = Long.MAX_VALUE;
+
     private long limitSetMicros;
+    /** Longest idle time after which a connection has recently worked, and when it did. */
     private long keptIdleMicros;
+
     private long keptSeenMicros;
-    private long locallySeenMicros = Long.MIN_VALUE / 2;
+    /** When an attempt of this sidecar last failed on a connection that was idle for long. */
+    private long locallySeenMicros = RateMath.NEVER_MICROS;
 
     /** When this sidecar's connections to an endpoint were last used. */
     static final class ConnectionUse {
@@ -38,8 +45,9 @@
     }
 
     /**
-     * Closes idle connections to an endpoint that drains, at the notice and after each later outcome there; also where
-     * it vanishes from the list, since a drain may have gone unseen.
+     * Closes the idle connections to an endpoint that is not ready, if the rules ask for it and there were any. Called
+     * when the endpoint list says so and after each later outcome there. An endpoint that is missing from the list is
+     * treated alike, since its drain may have gone unnoticed.
      */
     void closeIfDraining(TrackedEndpoint endpoint) {
         boolean used = endpoint.connections.lastUsedMicros > 0;
@@ -49,7 +57,7 @@
     }
 
     /**
-     * Prepares a send, and closes the endpoint's idle connections where they may have been dropped unseen.
+     * Prepares a send: closes the endpoint's idle connections if the network may have dropped them.
      *
      * @return how long the connection has been idle; 0 where it is in use or will be new
      */
@@ -71,30 +79,45 @@
         endpoint.connections.lastUsedMicros = nowMicros;
     }
 
-    /** Learns from an outcome; true where a failure is the connection's and says nothing of the endpoint. */
-    boolean isConnectionFailure(long nowMicros, Attempt attempt, AttemptOutcome outcome) {
+    /**
+     * Learns from an outcome.
+     *
+     * @return whether the failure is blamed on the connection, so that it says nothing about the endpoint
+     */
+    boolean recordOutcome(long nowMicros, Attempt attempt, AttemptOutcome outcome) {
         relaxLimit(nowMicros);
         long idleMicros = attempt.connectionIdleMicros();
-        boolean keptIsOld = nowMicros - keptSeenMicros > KEPT_MICROS;
-        if (outcome == AttemptOutcome.OK && (idleMicros >= keptIdleMicros || keptIsOld)) {
-            keptIdleMicros = idleMicros;
-            keptSeenMicros = nowMicros;
+        if (outcome == AttemptOutcome.OK) {
+            recordKeptConnection(nowMicros, idleMicros);
         }
         if (!settings.usesSubset() || idleMicros < MIN_LIMIT_MICROS || !isSuspect(nowMicros, idleMicros, outcome)) {
             return false;
         }
         locallySeenMicros = nowMicros;
-        lowerLimit(nowMicros, idleMicros * 3 / 4);
+        lowerLimit(nowMicros, withMargin(idleMicros));
         return true;
     }
 
-    /** A time-out may come of overload; not so where no connection idle for as long was kept of late. */
+    private void recordKeptConnection(long nowMicros, long idleMicros) {
+        boolean keptIsOld = nowMicros - keptSeenMicros > KEPT_MICROS;
+        if (idleMicros >= keptIdleMicros || keptIsOld) {
+            keptIdleMicros = idleMicros;
+            keptSeenMicros = nowMicros;
+        }
+    }
+
+    /** The limit that follows from a connection dropped after this idle time. */
+    private static long withMargin(long idleMicros) {
+        return idleMicros * 3 / 4;
+    }
+
+    /** Whether the connection may be at fault: on a reset, or on a timeout unless one idle about as long was kept. */
     private boolean isSuspect(long nowMicros, long idleMicros, AttemptOutcome outcome) {
-        boolean kept = nowMicros - keptSeenMicros < KEPT_MICROS && idleMicros * 3 / 4 <= keptIdleMicros;
+        boolean kept = nowMicros - keptSeenMicros < KEPT_MICROS && withMargin(idleMicros) <= keptIdleMicros;
         return outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.TIMEOUT && !kept;
     }
 
-    /** Doubles the limit when it has not been confirmed for a while, up to none. */
+    /** Doubles a limit that has not been confirmed for a while; beyond the idle timeout it is removed. */
     private void relaxLimit(long nowMicros) {
         if (limitMicros == Long.MAX_VALUE || nowMicros - limitSetMicros <= FORGET_MICROS) {
             return;
@@ -104,7 +127,7 @@
         limitMicros = beyondTimeout ? Long.MAX_VALUE : limitMicros * 2;
     }
 
-    /** Takes notice of a limit, found here or by a peer. */
+    /** Lowers the limit to the observed one, from here or from another sidecar, and counts as a confirmation. */
     void lowerLimit(long nowMicros, long observedMicros) {
         limitMicros = Math.min(limitMicros, Math.max(MIN_LIMIT_MICROS, observedMicros));
         limitSetMicros = nowMicros;
@@ -118,7 +141,7 @@
         return limitMicros;
     }
 
-    /** The limit for gossip, or 0: only local failures are passed on, or a limit would circulate for ever. */
+    /** The limit to send in gossip; 0 without a recent local failure, since a limit passed on would never expire. */
     long locallySeenLimitMicros(long nowMicros) {
         return nowMicros - locallySeenMicros < FORGET_MICROS ? limitMicros : 0;
     }
--- a/src/main/java/loadbalancer/decision/InFlightAttempts.java
+++ b/src/main/java/loadbalancer/decision/InFlightAttempts.java
@@ -8,14 +8,16 @@
 final class InFlightAttempts {
     private final Set<TrackedEndpoint> busyEndpoints = new LinkedHashSet<>();
 
-    /** The attempts in flight on one endpoint, in the order of their sends, and when it answered last. */
+    /** The attempts in flight on one endpoint, in the order of their sends, and when it last responded. */
     static final class OfEndpoint {
-        /** Most endpoints have few attempts at a time. */
+        /** Initial size of the queue; most endpoints have few attempts at a time. */
         private static final int INITIAL_CAPACITY = 4;
 
         private final ArrayDeque<Attempt> inOrder = new ArrayDeque<>(INITIAL_CAPACITY);
-        private long answeredSentMicros = Long.MIN_VALUE / 2;
-        private long answeredMicros = Long.MIN_VALUE / 2;
+        /** Send time of the attempt that was sent last of those with a response. */
+        private long answeredSentMicros = RateMath.NEVER_MICROS;
+
+        private long answeredMicros = RateMath.NEVER_MICROS;
 
         int size() {
             return inOrder.size();
@@ -29,12 +31,12 @@
             return inOrder;
         }
 
-        /** Whether an attempt sent later than this has been answered. */
-        boolean hasAnsweredAfter(long sentMicros) {
+        /** Whether the endpoint has responded to an attempt that was sent after this time. */
+        boolean hasAnsweredOneSentAfter(long sentMicros) {
             return sentMicros < answeredSentMicros;
         }
 
-        /** The oldest attempt that no answer has overtaken, or null: what the endpoint is at work on. */
+        /** The oldest attempt that is not overtaken, or null: the endpoint is probably working on it. */
         Attempt oldestNotOvertaken() {
             Attempt oldest = inOrder.peekFirst();
             if (oldest == null || !oldest.isOvertaken()) {
@@ -48,8 +50,8 @@
             return null;
         }
 
-        /** Number of attempts that were lost on their way; only overtaken ones can be, and they come first. */
-        int missing(long nowMicros) {
+        /** Number of missing attempts. Only overtaken attempts can be missing, and the oldest are overtaken first. */
+        int missingCount(long nowMicros) {
             Attempt oldest = inOrder.peekFirst();
             if (oldest == null || !oldest.isOvertaken()) {
                 return 0;
@@ -63,7 +65,7 @@
             return missing;
         }
 
-        /** When the endpoint last answered. */
+        /** When the endpoint last responded, with or without success. */
         long answeredMicros() {
             return answeredMicros;
         }
@@ -74,7 +76,7 @@
         busyEndpoints.add(attempt.endpoint());
     }
 
-    /** Takes an ended attempt out. */
+    /** Removes an ended attempt, and notes a response of the endpoint. */
     void remove(long nowMicros, Attempt attempt, AttemptOutcome outcome) {
         OfEndpoint attempts = attempt.endpoint().attempts;
         attempts.inOrder.remove(attempt);
@@ -87,7 +89,7 @@
         }
     }
 
-    /** The endpoints with attempts: never more than there are attempts, however large the fleet is. */
+    /** The endpoints with attempts in flight; their number does not grow with the fleet. */
     Set<TrackedEndpoint> busyEndpoints() {
         return busyEndpoints;
     }
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -70,7 +70,7 @@
         estimators.work.addClasses(newSettings.requestClasses());
         estimators.gossip.reset(newSettings.sidecarCount(), newSettings.zones().size());
         endpoints.onSettings();
-        gossipSender.startIfWanted();
+        gossipSender.startIfAllowed();
     }
 
     @Override
--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -1,12 +1,12 @@
 package loadbalancer.decision;
 
 /**
- * Estimates how many requests an endpoint holds: the local attempts in flight, and those of other sidecars by the
- * endpoint's last load report, which ages as the endpoint works on. It is the load that HALO_PoD compares (section
+ * Estimates how many requests an endpoint holds: the local attempts in flight, and those of other sidecars according to
+ * the endpoint's last load report, less what it can have served since. This is the load that HALO_PoD compares (section
  * IV-C).
  */
 final class LoadEstimator {
-    /** From so many times the expected time on, an unanswered attempt counts as additional load. */
+    /** From this many times its forecast time on, an attempt without response counts as additional load. */
     private static final double STALL_RATIO = 2;
 
     private final WorkEstimator work;
@@ -15,13 +15,14 @@
     static final class ReportedLoad {
         private int lostAttempts;
         private double remoteInFlight;
-        private long reportedMicros = Long.MIN_VALUE / 2;
+        private long reportedMicros = RateMath.NEVER_MICROS;
 
         /** Local attempts that the endpoint did not hold. */
         int lostAttempts() {
             return lostAttempts;
         }
 
+        /** When the endpoint last reported or was last assumed to be full. */
         long reportedMicros() {
             return reportedMicros;
         }
@@ -31,23 +32,25 @@
         this.work = work;
     }
 
-    /** The most requests that an endpoint should hold, by square-root staffing. */
+    /**
+     * The most requests that an endpoint should hold: its cores and, by the rule of square-root staffing, their root.
+     */
     static double maxLoad(double cores) {
         return cores + Math.sqrt(cores);
     }
 
-    /** Requests that the endpoint holds, as far as known here. */
+    /** Estimated number of requests that the endpoint holds. */
     double load(TrackedEndpoint endpoint, long nowMicros) {
         return localLoad(endpoint, nowMicros) + remoteLoad(endpoint, nowMicros) + stallLoad(endpoint, nowMicros);
     }
 
     /** Local attempts in flight, without those that were lost on their way. */
     private static int localLoad(TrackedEndpoint endpoint, long nowMicros) {
-        int lost = Math.max(endpoint.reportedLoad.lostAttempts, endpoint.attempts.missing(nowMicros));
+        int lost = Math.max(endpoint.reportedLoad.lostAttempts, endpoint.attempts.missingCount(nowMicros));
         return Math.max(0, endpoint.localInFlight() - lost);
     }
 
-    /** Requests of other sidecars at the last report, without those that were served since. */
+    /** Requests of other sidecars at the last report, less those that the endpoint can have served since. */
     private double remoteLoad(TrackedEndpoint endpoint, long nowMicros) {
         ReportedLoad report = endpoint.reportedLoad;
         double servedSinceReport = (nowMicros - report.reportedMicros)
@@ -56,7 +59,7 @@
         return Math.max(0, report.remoteInFlight - servedSinceReport);
     }
 
-    /** The load that an overdue answer stands for: a stall shows in the local attempts first. */
+    /** Additional load for a late response, in requests: a stall of the endpoint shows in the local attempts first. */
     private static double stallLoad(TrackedEndpoint endpoint, long nowMicros) {
         Attempt oldest = endpoint.attempts.oldestNotOvertaken();
         if (oldest == null || endpoint.reportedLoad.lostAttempts != 0) {
@@ -66,7 +69,7 @@
         return overdue > 0 ? overdue * endpoint.machineType().cores() : 0;
     }
 
-    /** Takes a load report. Overdue attempts that the endpoint does not hold were lost on their connections. */
+    /** Handles a load report. Overdue attempts that the endpoint does not hold were lost on their connections. */
     void onReport(TrackedEndpoint endpoint, LoadReport report, long nowMicros) {
         long overdue = 0;
         for (Attempt attempt : endpoint.attempts.inOrder()) {
@@ -81,7 +84,7 @@
         reported.reportedMicros = nowMicros;
     }
 
-    /** Takes an answer without a load report, or a rejection: the endpoint is rather full than idle. */
+    /** Assumes at least the load limit, after a rejection or a health check whose reply holds no load report. */
     void assumeFull(TrackedEndpoint endpoint, long nowMicros) {
         double full = Math.max(
                 load(endpoint, nowMicros), maxLoad(endpoint.machineType().cores()));
--- a/src/main/java/loadbalancer/decision/LoadReports.java
+++ b/src/main/java/loadbalancer/decision/LoadReports.java
@@ -1,18 +1,18 @@
 package loadbalancer.decision;
 
-/** Takes load reports of responses and health checks, and knows which endpoint reported in the event at hand. */
+/** Handles load reports from responses and health checks, and knows which endpoint reported in the current event. */
 final class LoadReports {
     private final EndpointRegistry registry;
     private final LoadEstimator loads;
     private TrackedEndpoint freshEndpoint;
-    private long lastReportMicros = Long.MIN_VALUE / 2;
+    private long lastReportMicros = RateMath.NEVER_MICROS;
 
     LoadReports(EndpointRegistry registry, LoadEstimator loads) {
         this.registry = registry;
         this.loads = loads;
     }
 
-    /** Takes a report; null, or one without the requests in flight, says nothing. */
+    /** Handles a report; one that is null or lacks the requests in flight is ignored. */
     void take(String endpointId, LoadReport report, long nowMicros) {
         TrackedEndpoint endpoint = registry.find(endpointId);
         if (endpoint == null || report == null || report.inFlight() < 0) {
@@ -24,12 +24,12 @@
         endpoint.machineType().learnCores(report);
     }
 
-    /** The endpoint that has just reported, or null. */
+    /** The endpoint that reported in the current event, or null. */
     TrackedEndpoint freshEndpoint() {
         return freshEndpoint;
     }
 
-    /** Ends the event: a report from now on is no longer just in. */
+    /** Called at the end of an event. */
     void clearFresh() {
         freshEndpoint = null;
     }
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -1,31 +1,37 @@
 package loadbalancer.decision;
 
 /**
- * What is learned of all endpoints of one machine type: the speed factor (time for work that takes a standard core one
- * unit; below 1 is faster) and the cores. Together they give the service rate of Eq. (4).
+ * The estimates for all endpoints of one machine type: the speed factor (time for work that takes a standard core one
+ * unit; below 1 is faster) and the number of cores. Together they give the service rate of Eq. (4).
  */
 final class MachineTypeEstimate {
-    /** More answers than this add no confidence. */
+    /** More responses than this add no confidence to the estimates. */
     private static final int MAX_ANSWERS = 40;
-    /** Without answers for this long the speed factor returns towards its best, so that the type is tried again. */
+    /** Without responses for this long the speed factor returns towards its least, so that the type is tried again. */
     private static final long STALE_MICROS = 3_000_000;
-
+    /** Step of that return at each solution of the routing table. */
     private static final double RETURN_GAIN = 0.02;
-    /** The least speed factor grows by this at each solution, so that a lucky start does not count for ever. */
+    /** The least speed factor seen is multiplied by this at each solution, so that an early low value is forgotten. */
     private static final double LEAST_GROWTH_RATIO = 1.0005;
-    /** The gain of an answer falls with their number down to this part. */
+    /** The gain of a response falls with their number, down to this part. */
     private static final double LEAST_GAIN_RATIO = 0.25;
-    /** One answer counts as at most this many times slower than expected: costs have long tails. */
+    /** A response counts as at most this many times slower than expected: the work of requests has a long tail. */
     private static final double MAX_STEP_RATIO = 3;
-
+    /** Step towards the cores that a load report shows. */
     private static final double REPORTED_CORES_GAIN = 0.3;
+    /** Requests; counts in a load report that differ by less are taken as equal. */
+    private static final double REPORT_TOLERANCE = 0.5;
     /** The most that one gossip message can weigh. */
     private static final double GOSSIP_GAIN = 0.5;
+    /** The number of cores in gossip counts as at most this many times the local estimate. */
+    private static final double MAX_GOSSIP_CORES_RATIO = 3;
 
     private double speedFactor = 1;
     private double leastSpeedFactor = 1;
     private double cores;
+    /** Responses behind the estimates. */
     private int answers;
+
     private long answeredMicros;
 
     MachineTypeEstimate(double cores) {
@@ -40,19 +46,19 @@
         return cores;
     }
 
-    /** The estimates for other sidecars. */
+    /** The estimates in the form in which gossip carries them. */
     GossipMessage.MachineTypeSample sample() {
         return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_ANSWERS, answers));
     }
 
-    /** Notes that an answer was learned from. */
-    void touch(long nowMicros) {
+    /** Notes the time of a response from which something was learned. */
+    void recordResponse(long nowMicros) {
         answeredMicros = nowMicros;
     }
 
     /**
-     * Without recent answers, moves the speed factor towards the least one seen: a type that seems slow gets no
-     * requests that would show otherwise.
+     * Without recent responses, moves the speed factor towards the least one seen: a type that seems slow gets no
+     * requests, so no response could correct the estimate.
      */
     void relax(long nowMicros) {
         if (nowMicros - answeredMicros > STALE_MICROS) {
@@ -63,11 +69,11 @@
     }
 
     /**
-     * Moves the speed factor towards one that was observed; the first answers weigh more.
+     * Moves the speed factor towards an observed one; the first responses weigh more.
      *
-     * @param observedFactor the time that an answer took, relative to the time expected at speed factor 1
-     * @param gain the step's weight
-     * @param usualGain the weight of a step that tells of nothing but speed
+     * @param observedFactor the response time, relative to the time expected at speed factor 1
+     * @param gain weight of this step
+     * @param usualGain weight of a step whose response time depends on the speed alone
      */
     void learnSpeed(double observedFactor, double gain, double usualGain) {
         answers++;
@@ -80,18 +86,18 @@
         cores = Math.max(1, cores * (1 - relativeStep));
     }
 
-    /** Learns cores from a load report: as many requests as run while others are queued. */
+    /** Learns the number of cores from a load report: the requests that run while others are queued. */
     void learnCores(LoadReport report) {
         double running = report.inFlight() - Math.max(0, report.queued());
-        boolean saturated = report.queued() >= 0.5 && running >= 0.5;
-        if (saturated || running > cores + 0.5) {
+        boolean saturated = report.queued() >= REPORT_TOLERANCE && running >= REPORT_TOLERANCE;
+        if (saturated || running > cores + REPORT_TOLERANCE) {
             cores += REPORTED_CORES_GAIN * (Math.max(1, running) - cores);
         }
     }
 
     /**
-     * Takes in the estimates of another sidecar, by the answers behind each side's. The reach of one message is
-     * bounded: a false one moves little, and the next take it back.
+     * Moves the estimates towards those of another sidecar, weighted by the responses behind each. The effect of one
+     * message is bounded, so that a wrong one does little harm and later ones correct it.
      */
     void blend(GossipMessage.MachineTypeSample peer) {
         int peerWeight = Math.min(MAX_ANSWERS, peer.answers());
@@ -100,8 +106,9 @@
         }
         double part = GOSSIP_GAIN * peerWeight / (peerWeight + Math.min(MAX_ANSWERS, answers));
         speedFactor += part * (peer.speedFactor() - speedFactor);
-        // Cores show only where requests queue, which one of many sidecars seldom meets.
-        cores = Math.max(1, cores + part * (Math.min(peer.cores(), MAX_STEP_RATIO * cores) - cores));
+        // Cores can be learned only from queued requests, which one of many sidecars seldom has: gossip is needed.
+        cores = Math.max(1, cores + part * (Math.min(peer.cores(), MAX_GOSSIP_CORES_RATIO * cores) - cores));
+        // Estimates taken from gossip count as half the responses that the sender had.
         answers = Math.max(answers, peerWeight / 2);
     }
 }
--- a/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
+++ b/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Decides what an attempt's outcome says of its endpoint: of its speed, its health, its load or its connection. */
+/** Decides what an attempt's outcome shows about its endpoint's speed, health or load, or about the connection. */
 final class OutcomeEvaluator {
     private final IdleConnectionGuard idleConnections;
     private final SpeedEstimator speeds;
@@ -15,9 +15,10 @@
         this.loads = loads;
     }
 
+    /** Updates the estimates of the attempt's endpoint. */
     void evaluate(long nowMicros, Attempt attempt, AttemptOutcome outcome, long latencyMicros) {
         TrackedEndpoint endpoint = attempt.endpoint();
-        if (idleConnections.isConnectionFailure(nowMicros, attempt, outcome)) {
+        if (idleConnections.recordOutcome(nowMicros, attempt, outcome)) {
             return;
         }
         switch (outcome) {
@@ -31,7 +32,7 @@
                 outliers.ejectIfDue(nowMicros, endpoint);
             }
             case ERROR -> outliers.recordFailure(nowMicros, endpoint, OutlierDetector.FAILURE_WEIGHT);
-                // As often the connection's failure: an endpoint whose process died refuses the next connection.
+                // Low weight, as the connection may be at fault; a dead endpoint then fails the next connect.
             case RESET, MALFORMED_RESPONSE -> outliers.recordFailure(
                     nowMicros, endpoint, OutlierDetector.CONNECTION_FAILURE_WEIGHT);
             case CONNECT_FAILED -> evaluateConnectFailure(nowMicros, attempt);
@@ -40,7 +41,7 @@
         }
     }
 
-    /** One lost request among answered ones shows neither a slow nor a failing endpoint. */
+    /** A single lost request, while others get responses, shows neither a slow nor a failing endpoint. */
     private void evaluateTimeout(long nowMicros, Attempt attempt, long latencyMicros) {
         if (attempt.isLost(nowMicros)) {
             return;
@@ -49,7 +50,7 @@
         outliers.recordFailure(nowMicros, attempt.endpoint(), OutlierDetector.FAILURE_WEIGHT);
     }
 
-    /** The connection's failure where the endpoint answers others; else nothing listens there. */
+    /** Blames the connection if the endpoint responds to other attempts; else no process listens, so it is ejected. */
     private void evaluateConnectFailure(long nowMicros, Attempt attempt) {
         int weight = attempt.isEndpointAnswering(nowMicros)
                 ? OutlierDetector.CONNECTION_FAILURE_WEIGHT
@@ -57,7 +58,7 @@
         outliers.recordFailure(nowMicros, attempt.endpoint(), weight);
     }
 
-    /** An endpoint that rejects while it holds little, and answers no others, is on its way out or broken. */
+    /** An endpoint that rejects although it has free cores, and responds to no other attempt, is leaving or broken. */
     private void evaluateRejection(long nowMicros, Attempt attempt) {
         TrackedEndpoint endpoint = attempt.endpoint();
         if (attempt.isEndpointAnswering(nowMicros)) {
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -1,23 +1,23 @@
 package loadbalancer.decision;
 
 /**
- * Ejects endpoints that fail several times in a row: they are out of the draw for a time that doubles with each
- * ejection, and then get one attempt at a time until one succeeds. In panic mode, when more than half of the ready
- * endpoints are out, ejections are ignored: failures that hit all alike say little of any one.
+ * Ejects endpoints that fail several times in a row: they are not drawn for a time that doubles with each ejection, and
+ * then get one attempt at a time until one succeeds. In panic mode, when more than half of the ready endpoints are
+ * ejected or unresponsive, both are ignored: failures of most endpoints say little about a single one.
  */
 final class OutlierDetector {
-    /** An endpoint is ejected after failures in a row that weigh so much. */
+    /** An endpoint is ejected when its failures since the last success add up to this weight. */
     static final int EJECTION_WEIGHT = 4;
-
+    /** Weight of a failure of the endpoint. */
     static final int FAILURE_WEIGHT = 2;
-    /** A failure that may be the connection's; an endpoint that has nothing but such failures is still ejected. */
+    /** Weight of a failure that may be the connection's; an endpoint with only such failures is ejected too. */
     static final int CONNECTION_FAILURE_WEIGHT = 1;
 
     private static final long BASE_EJECTION_MICROS = 500_000;
     private static final long MAX_EJECTION_MICROS = 8_000_000;
     /** Limits the shift of the base time. */
     private static final int MAX_DOUBLINGS = 10;
-    /** A persistent failure counts as so many earlier ejections. */
+    /** After a persistent failure an ejection lasts as long as if there had been this many before it. */
     private static final int PERSISTENT_EJECTIONS = 2;
 
     private final EndpointRegistry registry;
@@ -25,8 +25,11 @@
 
     /** The failures of one endpoint. */
     static final class Health {
+        /** Sum of the weights of the failures since the last success or ejection. */
         private int failureWeight;
+        /** Ejections since the last success. */
         private int ejections;
+
         private long ejectedUntilMicros;
 
         void reset() {
@@ -50,7 +53,7 @@
         ejectIfDue(nowMicros, endpoint);
     }
 
-    /** Ejects the endpoint where its failures, also those during an ejection that has ended, weigh enough. */
+    /** Ejects the endpoint if its failures weigh enough and it is not ejected; those during an ejection count too. */
     void ejectIfDue(long nowMicros, TrackedEndpoint endpoint) {
         Health health = endpoint.health;
         if (health.failureWeight >= EJECTION_WEIGHT && nowMicros >= health.ejectedUntilMicros) {
@@ -61,7 +64,7 @@
         }
     }
 
-    /** Records a failure that will not pass soon: the endpoint is ejected at once, and for longer. */
+    /** Records a failure that is expected to last: the endpoint is ejected at once, and for longer. */
     void recordPersistentFailure(long nowMicros, TrackedEndpoint endpoint) {
         endpoint.health.ejections = Math.max(PERSISTENT_EJECTIONS, endpoint.health.ejections);
         recordFailure(nowMicros, endpoint, EJECTION_WEIGHT);
@@ -71,7 +74,7 @@
         return nowMicros < endpoint.health.ejectedUntilMicros;
     }
 
-    /** Decides anew on panic mode. */
+    /** Enters or leaves panic mode. */
     void updatePanicMode(long nowMicros) {
         int out = 0;
         for (TrackedEndpoint endpoint : registry.ready()) {
@@ -87,6 +90,7 @@
         if (panicMode) {
             return true;
         }
+        // After an ejection, one attempt at a time until one succeeds.
         boolean onTrial = endpoint.health.ejections > 0 && endpoint.localInFlight() > 0;
         return !HealthChecks.isUnresponsive(endpoint, nowMicros) && !isEjected(endpoint, nowMicros) && !onTrial;
     }
--- a/src/main/java/loadbalancer/decision/PolicySettings.java
+++ b/src/main/java/loadbalancer/decision/PolicySettings.java
@@ -10,15 +10,15 @@
 import loadbalancer.settings.Tenant;
 import loadbalancer.settings.UsagePrices;
 
-/** The settings in force, and what the rules derive from them once per change. Written by {@link #apply} alone. */
+/** The current settings and values derived from them, which are computed once per change by {@link #apply}. */
 final class PolicySettings {
-    /** Sidecars that share one endpoint where connections cost: enough that their streams even out. */
+    /** Sidecars that share one endpoint where connections have a price: enough for an even total load. */
     static final int SIDECARS_PER_ENDPOINT = 10;
-    /** Load reports are sampled for each request only where the checks of a pair cost no more than this. */
+    /** Load is sampled only if two health checks per request cost no more than this part of the total value. */
     private static final double MAX_SAMPLING_PRICE = 0.005;
-    /** Crossing zones is avoided from this price on. */
+    /** Crossing zones is avoided if it costs at least this part of the total value. */
     private static final double LEAST_CROSS_ZONE_PRICE = 0.02;
-    /** First guess of an endpoint's cores where no load report tells them; latencies correct it. */
+    /** First estimate of an endpoint's cores where there are no load reports; response times correct it. */
     private static final double INITIAL_CORES = 2;
 
     private LoadBalancerSettings current;
@@ -102,7 +102,7 @@
         return longestDeadlineMicros;
     }
 
-    /** Requests a second of all tenants' quotas together. */
+    /** Sum of all tenants' quotas, in requests a second; 0 without tenants. */
     double quotaSumPerSecond() {
         return quotaSumPerSecond;
     }
@@ -124,27 +124,31 @@
         return current.loadReporting() != LoadReporting.NONE;
     }
 
-    /** Where load reports tell the cores, one is assumed until the first of them. */
+    /** First estimate of an endpoint's cores: 1 where load reports will raise it, else a guess. */
     double initialCores() {
         return hasLoadReports() ? 1 : INITIAL_CORES;
     }
 
-    /** Both drawn endpoints are asked for a load report before a request is sent: the paper's sampled load. */
+    /** Whether both drawn endpoints are asked for a load report before a request is sent: the paper's sampled load. */
     boolean samplesLoad() {
         return samplesLoad;
     }
 
-    /** A hedged request is allowed, and a health check tells an unresponsive endpoint from a busy one. */
+    /**
+     * Whether hedged requests are allowed and health checks can distinguish an unresponsive endpoint from a busy one.
+     */
     boolean hedgesRequests() {
         return samplesLoad && limits().hedging();
     }
 
-    /** Connections and handshakes have a price: the sidecar keeps to a subset of the endpoints. */
+    /** Whether the sidecar keeps to a subset of the endpoints: connections and handshakes have a price. */
     boolean usesSubset() {
         return prices().connection() > 0 && prices().handshake() > 0;
     }
 
-    /** No load is sampled and so many sidecars share an endpoint that local requests say little of its load. */
+    /**
+     * Whether so many sidecars share an endpoint, without sampled load, that local requests say little about its load.
+     */
     boolean localLoadIsSmallPart() {
         return !samplesLoad && sidecarCount() > SIDECARS_PER_ENDPOINT;
     }
--- a/src/main/java/loadbalancer/decision/RateMath.java
+++ b/src/main/java/loadbalancer/decision/RateMath.java
@@ -1,8 +1,10 @@
 package loadbalancer.decision;
 
-/** Arithmetic on rates. */
+/** Arithmetic on rates and times. */
 final class RateMath {
     static final double MICROS_PER_SECOND = 1e6;
+    /** Time of what has not happened yet: before all events, and differences from event times do not overflow. */
+    static final long NEVER_MICROS = Long.MIN_VALUE / 2;
     /** Far below every rate and sum in use. */
     private static final double MIN_DENOMINATOR = 1e-9;
 
--- a/src/main/java/loadbalancer/decision/RoutingTable.java
+++ b/src/main/java/loadbalancer/decision/RoutingTable.java
@@ -54,9 +54,7 @@
     /** Replaces the table by a new solution; sets the routing weight of each endpoint. */
     void solve(long nowMicros) {
         clear();
-        for (MachineTypeEstimate machineType : registry.machineTypes()) {
-            machineType.relax(nowMicros);
-        }
+        relaxEstimates(nowMicros);
         List<List<TrackedEndpoint>> groups = new ArrayList<>(groups(nowMicros).values());
         double[] sizes = new double[groups.size()];
         double[] serviceRates = new double[groups.size()];
@@ -89,11 +87,20 @@
         weightSum = 0;
     }
 
+    /** Lets speed estimates without recent responses return, so that endpoints that seem slow are tried again. */
+    private void relaxEstimates(long nowMicros) {
+        for (MachineTypeEstimate machineType : registry.machineTypes()) {
+            machineType.relax(nowMicros);
+        }
+        for (TrackedEndpoint endpoint : subset.members()) {
+            speeds.relax(endpoint, nowMicros);
+        }
+    }
+
     /** The members of the subset by group, keyed by the machine type or by the endpoint itself. */
     private Map<Object, List<TrackedEndpoint>> groups(long nowMicros) {
         Map<Object, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
         for (TrackedEndpoint endpoint : subset.members()) {
-            speeds.relax(endpoint, nowMicros);
             boolean separate = SpeedEstimator.isDeviating(endpoint) || slowStart.capacityRatio(endpoint, nowMicros) < 1;
             Object key = separate ? endpoint : endpoint.machineType();
             groups.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
--- a/src/main/java/loadbalancer/decision/SharedHash.java
+++ b/src/main/java/loadbalancer/decision/SharedHash.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** A hash that all sidecars compute alike, so that they agree on an order without messages. */
+/** A hash that is the same on all sidecars, so that they agree on an order without messages. */
 final class SharedHash {
     private SharedHash() {}
 
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -1,22 +1,22 @@
 package loadbalancer.decision;
 
 /**
- * Learns from response times how fast endpoints are and predicts response times: the speed factor of a machine type, an
- * endpoint's deviation from it, the cores where no load report tells them, and the work of request classes without cost
- * hints. The paper assumes known speeds (section II); here they are estimated.
+ * Learns from response times and predicts them. It learns the speed factor of a machine type, an endpoint's deviation
+ * from it, the number of cores where no load report shows it, and the work of request classes without cost hints. The
+ * paper assumes known speeds (section II); here they are estimated.
  */
 final class SpeedEstimator {
-    /** About ten answers tell an endpoint's speed. */
+    /** Step towards each observation: about ten responses determine an endpoint's speed. */
     private static final double SPEED_GAIN = 0.1;
-    /** Cores and work are learned more slowly: each answer tells less of them. */
+    /** Cores and work are learned more slowly, as each response says less about them. */
     private static final double SLOW_GAIN = SPEED_GAIN / 4;
-    /** One answer counts as at most this many times slower than expected: costs have long tails. */
+    /** A response counts as at most this many times slower than expected: the work of requests has a long tail. */
     private static final double MAX_STEP_RATIO = 3;
-    /** An endpoint so many times off its machine type is a group of its own; beyond the noise of the estimates. */
+    /** An endpoint this many times slower or faster than its machine type is a group of its own; more than noise. */
     private static final double DEVIATION_RATIO = 1.6;
-    /** Without answers for this long a deviation starts to return, so that the endpoint is tried again. */
+    /** Without responses for this long a deviation returns towards 1, so that the endpoint is tried again. */
     private static final long STALE_MICROS = 3_000_000;
-
+    /** Step of that return at each solution of the routing table. */
     private static final double RETURN_GAIN = 0.02;
 
     private final PolicySettings settings;
@@ -26,6 +26,7 @@
     /** An endpoint's speed factor relative to that of its machine type. */
     static final class Deviation {
         private double ratio = 1;
+        /** When it was last learned from an attempt. */
         private long answeredMicros;
 
         double ratio() {
@@ -43,25 +44,28 @@
         this.slowStart = slowStart;
     }
 
-    /** Time that work would take on an endpoint that holds {@code load} other requests, served first come first. */
+    /**
+     * Expected response time of work on an endpoint that holds {@code load} other requests, first come first served.
+     */
     double expectedMicros(TrackedEndpoint endpoint, double workMicros, double load, long nowMicros) {
         return endpoint.speedFactor()
                 * (workMicros + queuedWorkMicros(endpoint, load))
                 / slowStart.capacityRatio(endpoint, nowMicros);
     }
 
+    /** Work of standard cores that one more request would wait for. */
     private double queuedWorkMicros(TrackedEndpoint endpoint, double load) {
         double cores = Math.max(1, endpoint.machineType().cores());
         return Math.max(0, load + 1 - cores) / cores * work.meanWorkMicros();
     }
 
-    /** Whether the endpoint differs so much from its machine type that it is no longer counted with it. */
+    /** Whether the endpoint differs so much from its machine type that it is a group of its own. */
     static boolean isDeviating(TrackedEndpoint endpoint) {
         double ratio = endpoint.deviation.ratio;
         return ratio > DEVIATION_RATIO || ratio * DEVIATION_RATIO < 1;
     }
 
-    /** Lets the deviation of an endpoint without recent answers return towards none. */
+    /** Lets the deviation of an endpoint without recent responses return towards 1. */
     void relax(TrackedEndpoint endpoint, long nowMicros) {
         Deviation deviation = endpoint.deviation;
         if (nowMicros - deviation.answeredMicros > STALE_MICROS) {
@@ -75,9 +79,11 @@
         double observedFactor = observedFactor(attempt, latencyMicros);
         double gain = SPEED_GAIN;
         if (!settings.hasLoadReports() && slowStart.capacityRatio(endpoint, nowMicros) >= 1) {
-            gain *= 1 - learnCores(attempt, observedFactor);
+            double queuedPart = queuedPart(attempt);
+            learnCores(attempt, observedFactor, queuedPart);
+            gain *= 1 - queuedPart;
         }
-        touch(endpoint, nowMicros);
+        recordResponse(endpoint, nowMicros);
         if (!isDeviating(endpoint)) {
             endpoint.machineType().learnSpeed(observedFactor, gain, SPEED_GAIN);
         }
@@ -87,37 +93,44 @@
         }
     }
 
-    /** Learns from an attempt without answer, which took at least so long; nothing where more was expected. */
+    /**
+     * Learns from an attempt without a response, which would have taken at least this long, unless more was expected.
+     */
     void learnTimeout(Attempt attempt, long latencyMicros, long nowMicros) {
         TrackedEndpoint endpoint = attempt.endpoint();
         double observedFactor = observedFactor(attempt, latencyMicros);
         if (observedFactor < endpoint.speedFactor()) {
             return;
         }
-        touch(endpoint, nowMicros);
+        recordResponse(endpoint, nowMicros);
         endpoint.deviation.ratio *= 1 + SPEED_GAIN * excess(endpoint, observedFactor);
     }
 
+    /** The speed factor at which the attempt would have been expected to take as long as it did. */
     private static double observedFactor(Attempt attempt, long latencyMicros) {
         return latencyMicros / Math.max(1, attempt.forecast().unitSpeedMicros());
     }
 
-    /** How much longer than expected, relative to that; bounded. */
+    /** How much slower than estimated, relative to the estimate; negative if faster; at most the bound on a step. */
     private static double excess(TrackedEndpoint endpoint, double observedFactor) {
         return Math.min(MAX_STEP_RATIO, observedFactor / endpoint.speedFactor()) - 1;
     }
 
-    /** Time spent queued tells of cores, the rest of speed. Returns the part of the time that was queued. */
-    private double learnCores(Attempt attempt, double observedFactor) {
+    /** The part of the attempt's response time, 0 to 1, that it was expected to spend in the endpoint's queue. */
+    private double queuedPart(Attempt attempt) {
+        double queuedMicros =
+                queuedWorkMicros(attempt.endpoint(), attempt.forecast().load());
+        return queuedMicros / (queuedMicros + attempt.request().workMicros());
+    }
+
+    /** Time in the queue depends on the number of cores: corrects it by that part of the excess. */
+    private static void learnCores(Attempt attempt, double observedFactor, double queuedPart) {
         TrackedEndpoint endpoint = attempt.endpoint();
-        double queuedMicros = queuedWorkMicros(endpoint, attempt.forecast().load());
-        double queuedPart = queuedMicros / (queuedMicros + attempt.request().workMicros());
         endpoint.machineType().adjustCores(SLOW_GAIN * queuedPart * excess(endpoint, observedFactor));
-        return queuedPart;
     }
 
-    private static void touch(TrackedEndpoint endpoint, long nowMicros) {
+    private static void recordResponse(TrackedEndpoint endpoint, long nowMicros) {
         endpoint.deviation.answeredMicros = nowMicros;
-        endpoint.machineType().touch(nowMicros);
+        endpoint.machineType().recordResponse(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
 /**
- * One endpoint of the list and what each rule remembers of it. Every part is written by the class that declares it and
- * by nobody else; this class itself keeps what the list says.
+ * One endpoint: its entry in the endpoint list, its routing weight, and the state that each rule keeps for it. The
+ * state of a rule is written only by the class that declares its type.
  */
 final class TrackedEndpoint {
     private final String id;
@@ -29,7 +29,7 @@
         sharedOrder = SharedHash.mix(id.hashCode(), 0);
     }
 
-    /** Takes a new line of the list; a process that has started again loses what was held against the old one. */
+    /** Replaces the list entry. If the process has restarted, the estimates of the old one are reset. */
     void update(Endpoint newListing, int zoneIndex) {
         if (newListing.startedMicros() != listing.startedMicros()) {
             deviation.reset();
@@ -47,7 +47,7 @@
         removed = true;
     }
 
-    /** Renumbers the zone under new settings. */
+    /** Sets the zone's number under new settings. */
     void setZone(int zoneIndex) {
         zone = zoneIndex;
     }
@@ -65,12 +65,12 @@
         return machineType;
     }
 
-    /** The endpoint's line of the list. */
+    /** The endpoint's entry in the endpoint list. */
     Endpoint listing() {
         return listing;
     }
 
-    /** Its place in an order that all sidecars share. */
+    /** Sort key, computed from the id, of an order that all sidecars share. */
     int sharedOrder() {
         return sharedOrder;
     }
@@ -84,12 +84,14 @@
         return ready;
     }
 
-    /** No longer listed: only its last attempts are waited for. */
+    /** Whether it is no longer listed and kept only for its attempts in flight. */
     boolean isRemoved() {
         return removed;
     }
 
-    /** Ids are not used again where endpoints are replaced: a removed one is kept for its last attempts alone. */
+    /**
+     * Whether it is removed and has no attempt in flight. Its replacement has another id, so keeping it is of no use.
+     */
     boolean isForgettable() {
         return removed && attempts.isEmpty();
     }
--- a/src/main/java/loadbalancer/decision/WorkEstimator.java
+++ b/src/main/java/loadbalancer/decision/WorkEstimator.java
@@ -6,15 +6,15 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * Estimates the work of requests, in microseconds of a standard core: by the request's cost hint, else by what the
- * answers of its class took; and the mean over all requests.
+ * Estimates the work of each request, in microseconds of a standard core, by its cost hint or else by the response
+ * times of its class; and the mean work of all requests.
  */
 final class WorkEstimator {
-    /** First guess: a request takes this part of its class's latency objective. */
+    /** First estimate of the work of a class: its latency objective divided by this. */
     private static final double INITIAL_OBJECTIVE_DIVISOR = 4.0;
-
+    /** Weight of one request in the mean. */
     private static final double MEAN_GAIN = 0.01;
-    /** One request counts as at most this many mean requests: costs have long tails. */
+    /** A request counts as at most this many times the mean work: the work of requests has a long tail. */
     static final double MAX_MEAN_RATIO = 3;
 
     private final Map<String, Double> classWorkMicros = new HashMap<>();
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Takes up classes that were not known before. */
+    /** Adds the first estimates of classes that were not known before. */
     void addClasses(List<RequestClass> requestClasses) {
         for (RequestClass requestClass : requestClasses) {
             classWorkMicros.putIfAbsent(
@@ -38,12 +38,12 @@
         return request.costHintMicros() > 0 ? request.costHintMicros() : classWorkMicros.get(request.requestClass());
     }
 
-    /** Takes an arriving request's work into the mean. */
+    /** Updates the mean with the work of an arriving request. */
     void countArrival(double workMicros) {
         meanWorkMicros += MEAN_GAIN * (Math.min(workMicros, MAX_MEAN_RATIO * meanWorkMicros) - meanWorkMicros);
     }
 
-    /** Corrects a class's work by a relative step. */
+    /** Raises a class's work by a relative step, or lowers it by a negative one. */
     void adjustClass(String requestClass, double relativeStep) {
         Double workMicros = classWorkMicros.get(requestClass);
         if (workMicros != null) {
--- a/src/test/java/loadbalancer/decision/CapacityEstimatorTest.java
+++ b/src/test/java/loadbalancer/decision/MachineTypeEstimateTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The number of cores of a machine type is learned from gossip. */
-class CapacityEstimatorTest {
+class MachineTypeEstimateTest {
     /** Cores show only in queues, which a sidecar of little traffic hardly observes: it learns from the others. */
     @Test
     void learnsCoresFromGossipOfSidecarsThatObserveQueues() {
