--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -9,7 +9,8 @@
 
 /**
  * The command line. {@code serve} runs a sidecar, {@code simulator} hosts decision modules on the simulator's wire,
- * {@code fleet-cost} measures what fleets cost. Each command sets the exit status; 2 stands for a wrong command line.
+ * {@code fleet-cost} measures what fleets cost in processor time, memory and messages. The exit status is 2 for an
+ * invalid command line, else that of the command.
  */
 public final class Main {
     private static final String SERVE = "serve";
--- a/src/main/java/loadbalancer/simulation/FleetCosts.java
+++ b/src/main/java/loadbalancer/simulation/FleetCosts.java
@@ -2,9 +2,11 @@
 
 import java.util.stream.IntStream;
 
-/** Measures gossip, rate estimates and served requests of a simulated fleet, undisturbed and after a mass restart. */
+/**
+ * Measures gossip, rate estimates and served requests of a simulated fleet, and rate estimates after a mass restart.
+ */
 final class FleetCosts {
-    /** Modules log their estimates every 5 s: after this time each has logged once. */
+    /** Modules log their estimates every 5 s; after this time each has logged once. */
     private static final double SETTLING_SECONDS = 5.5;
 
     private final FleetShape shape;
--- a/src/main/java/loadbalancer/simulation/FleetShape.java
+++ b/src/main/java/loadbalancer/simulation/FleetShape.java
@@ -6,12 +6,12 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * What a simulated fleet consists of. The same shape gives the same history.
+ * The parameters of a simulated fleet. The same parameters give the same history.
  *
  * @param sidecarCount 1 or more
  * @param endpointCount 1 or more; each has {@link #CORES_PER_ENDPOINT} cores
  * @param utilization rate of requests of all sidecars together, as a part of the endpoints' full capacity
- * @param unevenness the busiest tenth of the sidecars gets this many times the mean rate
+ * @param unevenness each of the busiest tenth of the sidecars gets this many times the mean rate; 1 for equal rates
  * @param maxNotificationDelayMicros a change of the endpoint list reaches each sidecar after a random time up to this
  * @param gossipLossRatio part of the gossip messages that never arrive, 0 to 1
  * @param seed seed of all random draws
@@ -25,7 +25,7 @@
         double gossipLossRatio,
         long seed) {
     static final int CORES_PER_ENDPOINT = 2;
-    /** Mean work of a request on one core; the work is distributed exponentially. */
+    /** Mean work of a request on one core; exponentially distributed. */
     static final double MEAN_WORK_MICROS = 80_000;
 
     static final double SLOW_START_INITIAL_RATIO = 0.2;
@@ -51,7 +51,7 @@
         return utilization * capacityPerSecond();
     }
 
-    /** Requests a second of this sidecar; every tenth one is among the busy ones. */
+    /** Requests a second of this sidecar; every tenth sidecar is busy. */
     double requestsPerSecond(int sidecarIndex) {
         boolean busy = sidecarIndex % 10 == 0;
         int busyCount = (sidecarCount + 9) / 10;
@@ -60,7 +60,7 @@
         return mean * (busy ? unevenness : otherMultiple);
     }
 
-    /** The settings of one sidecar, read as a sidecar reads them from its configuration. */
+    /** The settings of one sidecar, read from text as a real sidecar reads its configuration. */
     LoadBalancerSettings settings(int sidecarIndex) {
         Map<String, String> values = new HashMap<>();
         values.put("me", "" + sidecarIndex);
--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -20,9 +20,11 @@
  * thread in microseconds, the clock's own cost included ({@link #clockMicros}).
  */
 final class PolicyCosts {
+    /** Batches of runs; the result is the median of their means. */
     private static final int BATCH_COUNT = 15;
+    /** Attempts in flight while the module is measured. */
     private static final int IN_FLIGHT = 20;
-    /** Modules over which the heap is averaged, so that what the garbage collector moves meanwhile matters little. */
+    /** Modules created to measure the heap; the mean over the second half reduces the error of a reading. */
     private static final int HEAP_MODULE_COUNT = 20;
     /** Requests a second of the measured module: 180,000 over 2,400 sidecars. */
     private static final int REQUESTS_PER_SECOND = 75;
@@ -121,7 +123,7 @@
         }
     }
 
-    /** The least of several readings: some are taken before a collection has freed everything. */
+    /** The least of several readings, since some are taken before the garbage collector has freed everything. */
     private static long usedHeapBytes() {
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 5; i++) {
--- a/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
@@ -6,8 +6,8 @@
 import loadbalancer.decision.EndpointState;
 
 /**
- * A model of an endpoint: cores behind one queue, slow start after each restart, and a count of the requests that come
- * during slow start, against the overload budget of the settings. Times are microseconds of the fleet's clock.
+ * A model of an endpoint: cores with one queue, slow start after each restart, and a check of the requests that arrive
+ * during slow start against the overload budget of the settings. Times are microseconds of the fleet's clock.
  */
 final class SimulatedEndpoint {
     private final String id;
@@ -15,7 +15,7 @@
     /** Arrival times of the last overload window. */
     private final ArrayDeque<Long> recentArrivals = new ArrayDeque<>();
 
-    /** 0: started long ago, so that there was no slow start. */
+    /** 0 if it started long ago and is not in slow start. */
     private long startedMicros;
 
     private double worstBudgetExcess = Double.NEGATIVE_INFINITY;
@@ -69,7 +69,7 @@
         return first;
     }
 
-    /** The budget of a window counts the capacity at its start, where it is least. */
+    /** Checks the window that ends now. Its budget is computed from the capacity at its start, where it is least. */
     private void countSlowStartRequest(long nowMicros) {
         slowStartRequests++;
         slowStartCapacity += capacityRatio(nowMicros)
@@ -90,19 +90,19 @@
     }
 
     /**
-     * Most requests in an overload window beyond the budget N and an allowance for chance of 2 x root of N + 2. The
-     * endpoint would fail if this were positive; negative if all windows stayed below.
+     * The largest difference, over all overload windows, between the requests in the window and N + 2 sqrt(N) + 2,
+     * where N is the window's budget and the rest allows for chance. A real endpoint would fail if this were positive.
      */
     double worstBudgetExcess() {
         return worstBudgetExcess;
     }
 
-    /** Requests that came during slow start. */
+    /** Requests that arrived during slow start. */
     long slowStartRequests() {
         return slowStartRequests;
     }
 
-    /** Requests that it could have served during slow start, up to the last one that came. */
+    /** Requests that it could have served during slow start, up to the arrival of the last one. */
     double slowStartCapacity() {
         return slowStartCapacity;
     }
--- a/src/main/java/loadbalancer/simulation/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedFleet.java
@@ -7,7 +7,7 @@
 
 /**
  * Sidecars, endpoints, their clients, discovery and gossip on one virtual clock and with one source of random numbers.
- * The order of the draws is part of a history; keep it when changing this class. Not thread-safe.
+ * The history depends on the order of the random draws; keep that order when changing this class. Not thread-safe.
  */
 final class SimulatedFleet {
     private static final long START_MICROS = 1_000_000_000L;
@@ -47,7 +47,7 @@
         return events.nowMicros();
     }
 
-    /** Runs the fleet for so many more seconds; returns the number of events. */
+    /** Runs the fleet for this many more seconds; returns the number of events. */
     long run(double seconds) {
         return events.runUntil(nowMicros() + (long) (seconds * 1e6));
     }
@@ -129,7 +129,7 @@
         return requests;
     }
 
-    /** The part of the requests so far that was served before its deadline. */
+    /** The part of the requests so far, 0 to 1, that was served before its deadline. */
     double servedRatio() {
         return servedRequests / (double) Math.max(1, requests);
     }
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -12,7 +12,7 @@
 import loadbalancer.decision.LoadBalancingPolicy;
 import loadbalancer.decision.Request;
 
-/** A sidecar's process: a real decision module whose actions are carried to the models of the fleet. */
+/** A sidecar of a simulated fleet: a real decision module whose actions go to the models of the fleet. */
 final class SimulatedSidecar extends NoOpActions {
     private static final Pattern FLEET_RATE = Pattern.compile("^estimates .*?\\bfleet_rate_per_second=(\\d+)");
 
@@ -35,7 +35,7 @@
         this.sidecarIndex = sidecarIndex;
     }
 
-    /** Starts a new process, which knows this endpoint list and nothing of an earlier process. */
+    /** Starts a new process with this endpoint list; it keeps no state of an earlier process. */
     void start(List<Endpoint> endpointList) {
         processNumber++;
         attemptCounts.clear();
@@ -62,7 +62,7 @@
                 new Request(id, -1, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass));
     }
 
-    /** Runs the action after the delay unless the process has ended by then. Nothing re-enters the module this way. */
+    /** Runs the action as an event after the delay, unless the process has ended by then. */
     private void scheduleInProcess(long delayMicros, Runnable action) {
         int scheduledBy = processNumber;
         fleet.schedule(delayMicros, () -> {
--- a/src/main/java/loadbalancer/simulator/EndpointPages.java
+++ b/src/main/java/loadbalancer/simulator/EndpointPages.java
@@ -7,8 +7,8 @@
 import loadbalancer.decision.Endpoint;
 
 /**
- * The numbered lists of endpoints that all hosted instances may be referred to. A new list replaces the one of its
- * number; instances keep the entries that they were given before.
+ * The numbered lists of endpoints that the simulator sends once for all instances; events refer to them by number. A
+ * new list replaces the one with the same number; instances keep the entries that they were given before.
  */
 final class EndpointPages {
     private static final int PAGE_COUNT = 16;
@@ -22,7 +22,13 @@
         }
     }
 
-    /** Reads a page whose first line has been read up to its number; its rows are the next lines of the input. */
+    /**
+     * Reads a page.
+     *
+     * @param header the page's first line, read up to its number
+     * @param input holds the page's rows as its next lines
+     * @throws SimulatorProtocolException if the page is malformed
+     */
     void read(FieldReader header, BufferedReader input) throws IOException {
         int number = (int) header.integer();
         if (!isPageNumber(number)) {
@@ -40,7 +46,11 @@
         pages.set(number, endpoints);
     }
 
-    /** The endpoints of the latest page of this number. */
+    /**
+     * The endpoints of the latest page of this number.
+     *
+     * @throws SimulatorProtocolException if there is none
+     */
     List<Endpoint> get(int number) {
         List<Endpoint> endpoints = isPageNumber(number) ? pages.get(number) : null;
         if (endpoints == null) {
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -11,11 +11,13 @@
 import loadbalancer.input.LoadReportFields;
 
 /**
- * Decodes the events of running instances, one method for each message. The fields of a line have to be read in their
- * order, so that the order of the statements in these methods matters.
+ * Decodes the events of running instances, one method for each message. Fields are read from left to right, so the
+ * order of the statements in these methods matters.
  */
 final class EventDecoder {
     private static final long NO_KEY = -1;
+    private static final int NO_PAGE = -1;
+    private static final double NOT_REPORTED = -1;
 
     private final EndpointPages pages;
 
@@ -47,9 +49,9 @@
 
     private InstanceEvent endpointList(FieldReader fields) {
         EndpointListType type = WireNames.endpointListType(fields.integer());
-        // The list's version: changes come in order and without gaps, so that it is not needed.
+        // The list's version is not needed: the simulator sends changes in order and without gaps.
         fields.integerOr(0);
-        int page = (int) fields.integerOr(-1);
+        int page = (int) fields.integerOr(NO_PAGE);
         List<Endpoint> endpoints = type == EndpointListType.FAILED ? List.of() : pages.get(page);
         return (now, balancer) -> balancer.onEndpointList(now, type, endpoints);
     }
@@ -120,7 +122,7 @@
         }
     }
 
-    /** Null where the endpoint sent no report; {@code row} holds the values joined with commas. */
+    /** Decodes values joined with commas; null stands for no report in both {@code row} and the result. */
     private static LoadReport loadReport(String row, List<String> fieldNames) {
         if (row == null) {
             return null;
@@ -129,7 +131,9 @@
         String[] values = row.split(",");
         for (int i = 0; i < values.length && i < fieldNames.size(); i++) {
             try {
-                fields.put(fieldNames.get(i), values[i].equals(WireNames.ABSENT) ? -1 : Double.parseDouble(values[i]));
+                fields.put(
+                        fieldNames.get(i),
+                        values[i].equals(WireNames.ABSENT) ? NOT_REPORTED : Double.parseDouble(values[i]));
             } catch (NumberFormatException e) {
                 throw new SimulatorProtocolException("load report '" + row + "' holds a value that is no number");
             }
--- a/src/main/java/loadbalancer/simulator/FieldReader.java
+++ b/src/main/java/loadbalancer/simulator/FieldReader.java
@@ -10,7 +10,7 @@
  * <p>All methods throw {@link SimulatorProtocolException} if the line has no further field or the field is malformed.
  */
 final class FieldReader {
-    /** Any decimal number of so many digits fits into a long. */
+    /** Any decimal number of this many digits fits into a long. */
     private static final int MAX_DIGITS = 18;
     /** Whole numbers below this are exact as doubles. */
     private static final double MAX_WHOLE_DECIMAL = 1e15;
--- a/src/main/java/loadbalancer/simulator/Reply.java
+++ b/src/main/java/loadbalancer/simulator/Reply.java
@@ -1,6 +1,8 @@
 package loadbalancer.simulator;
 
-/** The reply to one batch: a line for each action, with the instance named wherever it differs from the line before. */
+/**
+ * The reply to one batch: a line for each action, and a line with the instance's name wherever the instance changes.
+ */
 final class Reply {
     private static final int INITIAL_CAPACITY = 1 << 16;
 
@@ -13,7 +15,7 @@
         currentInstance = null;
     }
 
-    /** Starts an action of the instance; the caller appends its fields and the end of the line. */
+    /** Starts the line of an action of the instance; the caller appends the action's fields and the line break. */
     StringBuilder action(String instance, String action) {
         if (!instance.equals(currentInstance)) {
             text.append(WireNames.ACTION_INSTANCE).append(' ').append(instance).append('\n');
@@ -32,7 +34,7 @@
                 .append('\n');
     }
 
-    /** The whole reply, ended. */
+    /** Ends the reply and returns its text. */
     String finish() {
         return text.append(WireNames.REPLY_END).append('\n').toString();
     }
--- a/src/main/java/loadbalancer/simulator/ReplyWriter.java
+++ b/src/main/java/loadbalancer/simulator/ReplyWriter.java
@@ -61,7 +61,7 @@
 
     @Override
     public void pollEndpoints() {
-        action(WireNames.SUBSCRIBE_TO_ENDPOINTS).append('\n');
+        action(WireNames.POLL_ENDPOINTS).append('\n');
     }
 
     @Override
--- a/src/main/java/loadbalancer/simulator/SimulatorHost.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorHost.java
@@ -20,8 +20,8 @@
  * Hosts many isolated decision modules for the simulator: reads batches of events, reports each event to its instance
  * and answers each batch with the actions of the instances.
  *
- * <p>Not thread-safe; {@link #run} does everything on the calling thread. If a module throws, the reply says so and no
- * further event is reported to any module: the simulator ends the run then.
+ * <p>Not thread-safe; {@link #run} does everything on the calling thread. If a module throws, the reply reports it and
+ * no further event is passed to any module, since the simulator then ends the run.
  */
 public final class SimulatorHost {
     private static final int EXIT_OK = 0;
@@ -35,6 +35,7 @@
     private final EndpointPages pages = new EndpointPages();
     private final EventDecoder decoder = new EventDecoder(pages);
     private final Map<String, Instance> instances = new HashMap<>();
+    /** Whether a module has thrown. */
     private boolean failed;
 
     /** One hosted module and the order in which load reports to it list their values. */
@@ -136,6 +137,7 @@
         runModule(instanceName, () -> event.report(nowMicros, instance.balancer));
     }
 
+    /** Runs a call of a module and reports its exception; does nothing after any module has thrown. */
     private void runModule(String instanceName, Runnable call) {
         if (failed) {
             return;
--- a/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
@@ -1,8 +1,8 @@
 package loadbalancer.simulator;
 
 /**
- * Input that does not follow the wire's syntax or order. The host ends with it, since what follows can't be
- * interpreted. The message is one line that shows the offending part.
+ * Input that violates the syntax or order of the wire. The host stops, since it can't interpret the following input.
+ * The message is one line that shows the invalid part.
  */
 final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/loadbalancer/simulator/WireNames.java
+++ b/src/main/java/loadbalancer/simulator/WireNames.java
@@ -4,7 +4,7 @@
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.EndpointState;
 
-/** The one map between names and codes of the simulator's wire and the terms of the code. */
+/** Maps the names and codes of the simulator's wire to the terms of the code; no other class knows them. */
 final class WireNames {
     // Frames of batches and replies.
     static final String BATCH_START = "MARK";
@@ -37,14 +37,14 @@
     static final String FAIL = "FAIL";
     static final String CANCEL_ATTEMPT = "REVOKE";
     static final String CHECK_HEALTH = "SAMPLE";
-    static final String SUBSCRIBE_TO_ENDPOINTS = "TRACK 1";
+    static final String POLL_ENDPOINTS = "TRACK 1";
     static final String SEND_GOSSIP = "WRITE_PEER";
     static final String CLOSE_IDLE_CONNECTIONS = "LET_GO";
     static final String START_TIMER = "SCHEDULE";
     static final String LOG = "TRACE";
     static final String INSTANCE_FAILED = "DIE";
 
-    /** Stands for a value that is not given. */
+    /** Stands for an absent value. */
     static final String ABSENT = "-";
 
     private WireNames() {}
