--- a/src/main/java/loadbalancer/decision/HealthCheckResults.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckResults.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Takes one outcome.
+     * Handles one outcome.
      *
      * @param report null where the endpoint reported no load
      */
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -7,7 +7,7 @@
  * The decision module of one sidecar. The host reports events by calling these methods; during such a call the module
  * makes its decisions known by calling {@link LoadBalancerActions}. Not thread-safe: all calls come from one thread.
  *
- * <p>Times are microseconds of one clock that only moves forward. Nothing else tells the module the time, so that the
+ * <p>Times are microseconds of one clock that only moves forward. The module has no other source of time, so that the
  * same events and the same seed give the same decisions.
  */
 public interface LoadBalancer {
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -51,8 +51,8 @@
         return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_ANSWERS, answers));
     }
 
-    /** Notes the time of a response from which something was learned. */
-    void recordResponse(long nowMicros) {
+    /** Notes the time at which an attempt, with or without a response, was learned from. */
+    void recordObservation(long nowMicros) {
         answeredMicros = nowMicros;
     }
 
--- a/src/main/java/loadbalancer/decision/PolicySettings.java
+++ b/src/main/java/loadbalancer/decision/PolicySettings.java
@@ -107,7 +107,7 @@
         return quotaSumPerSecond;
     }
 
-    /** The number of a zone in the settings; 0 where they do not name it. */
+    /** The index of a zone in the settings; 0 if they do not list it. */
     int zoneIndex(String zone) {
         return Math.max(0, current.zones().indexOf(zone));
     }
--- a/src/main/java/loadbalancer/decision/RetryEligibility.java
+++ b/src/main/java/loadbalancer/decision/RetryEligibility.java
@@ -65,7 +65,7 @@
         };
     }
 
-    /** Whether the request may be answered with the promise that nothing has run. */
+    /** Whether the request may be rejected, which promises that nothing has run. */
     boolean mayReject(PendingRequest request) {
         return !request.isFinished() && !request.isStreaming() && !request.mayHaveRun();
     }
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -83,7 +83,7 @@
             learnCores(attempt, observedFactor, queuedPart);
             gain *= 1 - queuedPart;
         }
-        recordResponse(endpoint, nowMicros);
+        recordObservation(endpoint, nowMicros);
         if (!isDeviating(endpoint)) {
             endpoint.machineType().learnSpeed(observedFactor, gain, SPEED_GAIN);
         }
@@ -94,7 +94,8 @@
     }
 
     /**
-     * Learns from an attempt without a response, which would have taken at least this long, unless more was expected.
+     * Learns from an attempt that ended without a response: one would have taken at least this long. Learns nothing if
+     * the endpoint's speed factor already predicts a longer time.
      */
     void learnTimeout(Attempt attempt, long latencyMicros, long nowMicros) {
         TrackedEndpoint endpoint = attempt.endpoint();
@@ -102,7 +103,7 @@
         if (observedFactor < endpoint.speedFactor()) {
             return;
         }
-        recordResponse(endpoint, nowMicros);
+        recordObservation(endpoint, nowMicros);
         endpoint.deviation.ratio *= 1 + SPEED_GAIN * excess(endpoint, observedFactor);
     }
 
@@ -111,7 +112,7 @@
         return latencyMicros / Math.max(1, attempt.forecast().unitSpeedMicros());
     }
 
-    /** How much slower than estimated, relative to the estimate; negative if faster; at most the bound on a step. */
+    /** How much slower than estimated, relative to the estimate; negative if faster; bounded above. */
     private static double excess(TrackedEndpoint endpoint, double observedFactor) {
         return Math.min(MAX_STEP_RATIO, observedFactor / endpoint.speedFactor()) - 1;
     }
@@ -129,8 +130,8 @@
         endpoint.machineType().adjustCores(SLOW_GAIN * queuedPart * excess(endpoint, observedFactor));
     }
 
-    private static void recordResponse(TrackedEndpoint endpoint, long nowMicros) {
+    private static void recordObservation(TrackedEndpoint endpoint, long nowMicros) {
         endpoint.deviation.answeredMicros = nowMicros;
-        endpoint.machineType().recordResponse(nowMicros);
+        endpoint.machineType().recordObservation(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/decision/ZoneShares.java
+++ b/src/main/java/loadbalancer/decision/ZoneShares.java
@@ -27,15 +27,17 @@
         }
     }
 
+    /** Gives the other zones only the local zone's excess, in proportion to what each has to spare. */
     private void preferLocalZone() {
         int localZone = settings.localZone();
-        double total = gossip.livePeers() > 0 ? gossip.meanRate() : 0;
-        double localShare =
-                total <= 0 ? 1 : Math.min(1, RateMath.divide(shares[localZone] * total, gossip.zoneRate(localZone)));
+        double meanRate = gossip.livePeers() > 0 ? gossip.meanRate() : 0;
+        double localShare = meanRate <= 0
+                ? 1
+                : Math.min(1, RateMath.divide(shares[localZone] * meanRate, gossip.zoneRate(localZone)));
         double spareSum = 0;
         for (int zone = 0; zone < shares.length; zone++) {
-            boolean takesNone = zone == localZone || total <= 0;
-            shares[zone] = takesNone ? 0 : Math.max(0, shares[zone] - gossip.zoneRate(zone) / total);
+            boolean takesNone = zone == localZone || meanRate <= 0;
+            shares[zone] = takesNone ? 0 : Math.max(0, shares[zone] - gossip.zoneRate(zone) / meanRate);
             spareSum += shares[zone];
         }
         for (int zone = 0; zone < shares.length; zone++) {
@@ -49,6 +51,7 @@
         return shares[zone];
     }
 
+    /** The part of the local requests, 0 to 1, that stays in the local zone. */
     double localShare() {
         return shares[settings.localZone()];
     }
--- a/src/main/java/loadbalancer/settings/RequestLimits.java
+++ b/src/main/java/loadbalancer/settings/RequestLimits.java
@@ -8,7 +8,7 @@
  * @param cancellation whether attempts may be cancelled; no rule uses it, the module cancels none
  * @param healthChecks whether endpoints may be asked for load reports
  * @param gossip whether sidecars may send messages to one another
- * @param retryAfter whether clients are told when to come back after a rejection
+ * @param retryAfter whether rejections tell clients after which time to retry
  * @param maxRetryAfterMicros longest Retry-After time that clients respect
  * @param connectionIdleTimeoutMicros connections without a request are closed after this time
  * @param connectTimeoutMicros an attempt that needs a new connection reaches its endpoint at most this much later
