--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -43,7 +43,7 @@
 
     private final EventLoop loop;
     private final MonotonicClock clock;
-    private final LoadBalancerExecutor loadBalancer;
+    private final LoadBalancerExecutor loadBalancerExecutor;
     private final UpstreamConnectionPool upstreams;
     private int maxAttempts;
     private final TrafficStatistics statistics;
@@ -67,13 +67,13 @@
     public RequestDispatcher(
             EventLoop loop,
             MonotonicClock clock,
-            LoadBalancerExecutor loadBalancer,
+            LoadBalancerExecutor loadBalancerExecutor,
             UpstreamConnectionPool upstreams,
             int maxAttempts,
             TrafficStatistics statistics) {
         this.loop = loop;
         this.clock = clock;
-        this.loadBalancer = loadBalancer;
+        this.loadBalancerExecutor = loadBalancerExecutor;
         this.upstreams = upstreams;
         this.maxAttempts = maxAttempts;
         this.statistics = statistics;
@@ -113,8 +113,10 @@
         if (pendingResponses.first() == exchange) {
             scheduleDeadlineCheck();
         }
-        loadBalancer.submit(
-                "request", balancer -> balancer.onRequest(clock.nowMicros(), exchange.request()), () -> fail(exchange));
+        loadBalancerExecutor.submit(
+                "request",
+                loadBalancer -> loadBalancer.onRequest(clock.nowMicros(), exchange.request()),
+                () -> fail(exchange));
     }
 
     /**
@@ -180,9 +182,9 @@
     }
 
     private void reportExpired(RequestExchange exchange) {
-        loadBalancer.submit(
+        loadBalancerExecutor.submit(
                 "request_expired",
-                balancer -> balancer.onRequestExpired(clock.nowMicros(), exchange.requestId()),
+                loadBalancer -> loadBalancer.onRequestExpired(clock.nowMicros(), exchange.requestId()),
                 () -> {});
     }
 
@@ -226,7 +228,7 @@
 
     /** {@code body} is owned by the caller, and null unless the outcome is {@link AttemptOutcome#OK}. */
     private void attemptEnded(RequestExchange exchange, UpstreamCall attempt, AttemptOutcome outcome, ByteBuf body) {
-        attempt.noteEnd(clock.nowMicros());
+        attempt.recordEnd(clock.nowMicros());
         statistics.attemptCompleted(outcome);
         if (outcome == AttemptOutcome.OK && !exchange.isCompleted()) {
             statistics.requestServed(exchange.request().requestClass());
@@ -239,16 +241,16 @@
     private void reportOutcome(RequestExchange exchange, int number, LoadReport report) {
         long nowMicros = clock.nowMicros();
         UpstreamCall attempt = exchange.attempts().get(number);
-        loadBalancer.submit(
+        loadBalancerExecutor.submit(
                 "attempt_outcome",
-                balancer -> balancer.onAttemptOutcome(
+                loadBalancer -> loadBalancer.onAttemptOutcome(
                         nowMicros,
                         new AttemptResult(
                                 exchange.requestId(),
                                 number,
                                 attempt.endpoint(),
                                 attempt.outcome(),
-                                nowMicros - attempt.sentMicros(),
+                                nowMicros - attempt.startedMicros(),
                                 exchange.isCompleted(),
                                 report)),
                 () -> failUnlessInFlight(exchange));
--- a/src/main/java/loadbalancer/proxy/client/RequestExchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -97,7 +97,7 @@
             UpstreamCall attempt = attempts.get(number);
             line.append(" attempt=").append(number);
             line.append(" endpoint=").append(attempt.endpoint());
-            line.append(" started_millis=").append(millisSinceDispatch(attempt.sentMicros()));
+            line.append(" started_millis=").append(millisSinceDispatch(attempt.startedMicros()));
             if (attempt.ended()) {
                 line.append(" outcome=").append(attempt.outcome());
                 line.append(" ended_millis=").append(millisSinceDispatch(attempt.endedMicros()));
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -154,24 +154,24 @@
     /** Handles what belongs to the call in flight. A response without a call closes its connection. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (inFlight != null && ctx.channel() == channel) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+            if (inFlight != null && context.channel() == channel) {
                 receive(response);
             } else {
-                ctx.close();
+                context.close();
             }
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            if (inFlight != null && ctx.channel() == channel) {
+        public void channelInactive(ChannelHandlerContext context) {
+            if (inFlight != null && context.channel() == channel) {
                 fail(inFlight, CallFailure.CONNECTION_CLOSED, "");
             }
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -37,7 +37,7 @@
 
     private final EventLoop loop;
     private final MonotonicClock clock;
-    private final LoadBalancerExecutor decisions;
+    private final LoadBalancerExecutor loadBalancerExecutor;
     private final EndpointListListener listener;
     private final DiscoveryMode mode;
     private final WatchTimeouts timeouts;
@@ -63,13 +63,13 @@
     public DiscoveryWatch(
             EventLoop loop,
             MonotonicClock clock,
-            LoadBalancerExecutor decisions,
+            LoadBalancerExecutor loadBalancerExecutor,
             EndpointListListener listener,
             Options options,
             ExponentialBackoff backoff) {
         this.loop = loop;
         this.clock = clock;
-        this.decisions = decisions;
+        this.loadBalancerExecutor = loadBalancerExecutor;
         this.listener = listener;
         this.backoff = backoff;
         address = options.address();
@@ -143,7 +143,7 @@
         recordSuccess();
         cursor.advanceTo(list);
         listener.onEndpointList(list);
-        notifyModule(list);
+        notifyLoadBalancer(list);
         scheduleNextCall();
     }
 
@@ -155,15 +155,17 @@
     }
 
     /** Notifies the load balancer of a list, except of a delta without changes that it has not polled for. */
-    private void notifyModule(EndpointList list) {
+    private void notifyLoadBalancer(EndpointList list) {
         if (!pollPending && !list.fullSnapshot() && list.entries().isEmpty()) {
             return;
         }
         pollPending = false;
         EndpointListType type = list.fullSnapshot() ? EndpointListType.FULL : EndpointListType.DELTA;
         List<Endpoint> endpoints = list.endpoints();
-        decisions.submit(
-                "endpoint_list", module -> module.onEndpointList(clock.nowMicros(), type, endpoints), () -> {});
+        loadBalancerExecutor.submit(
+                "endpoint_list",
+                loadBalancer -> loadBalancer.onEndpointList(clock.nowMicros(), type, endpoints),
+                () -> {});
     }
 
     private void scheduleNextCall() {
@@ -189,9 +191,9 @@
         }
         pollPending = false;
         // The load balancer decides when to poll again. If it throws instead, the watch has to go on by itself.
-        decisions.submit(
+        loadBalancerExecutor.submit(
                 "endpoint_list_failed",
-                module -> module.onEndpointList(clock.nowMicros(), EndpointListType.FAILED, List.of()),
+                loadBalancer -> loadBalancer.onEndpointList(clock.nowMicros(), EndpointListType.FAILED, List.of()),
                 () -> pollLater(pauseMicros));
     }
 
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -31,7 +31,7 @@
     private static final int MAX_DATAGRAM_BYTES = 256;
 
     private final MonotonicClock clock;
-    private final LoadBalancerExecutor decisions;
+    private final LoadBalancerExecutor loadBalancerExecutor;
     private final Map<InetSocketAddress, Integer> peerIndexes = new HashMap<>();
     private List<InetSocketAddress> peers;
     /** The address that reaches all peers; null if the configuration has none. */
@@ -42,11 +42,11 @@
     /** Sends and receives nothing until it listens; {@code allPeers} may be null. */
     public GossipTransport(
             MonotonicClock clock,
-            LoadBalancerExecutor decisions,
+            LoadBalancerExecutor loadBalancerExecutor,
             List<InetSocketAddress> peers,
             InetSocketAddress allPeers) {
         this.clock = clock;
-        this.decisions = decisions;
+        this.loadBalancerExecutor = loadBalancerExecutor;
         updatePeers(peers, allPeers);
     }
 
@@ -93,17 +93,18 @@
     /** Passes the datagrams of peers to the load balancer. */
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+        protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             Integer peer = peerIndexes.get(packet.sender());
             if (peer == null || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            decisions.submit("gossip", module -> module.onGossip(clock.nowMicros(), peer, message), () -> {});
+            loadBalancerExecutor.submit(
+                    "gossip", loadBalancer -> loadBalancer.onGossip(clock.nowMicros(), peer, message), () -> {});
         }
 
         /** Ignored: an earlier datagram could not be delivered, and the socket remains usable. */
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -42,7 +42,7 @@
     private final EventLoop loop;
     private final DescriptorBudget descriptors;
     private final TrafficStatistics statistics = new TrafficStatistics();
-    private final LoadBalancerExecutor loadBalancer;
+    private final LoadBalancerExecutor loadBalancerExecutor;
     private final UpstreamConnectionPool upstreams;
     private final RequestDispatcher requests;
     private final DiscoveryWatch discovery;
@@ -78,13 +78,18 @@
         loop = eventLoop.eventLoop();
         descriptors = DescriptorBudget.of(configuration.descriptorLimit());
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
-        loadBalancer = new LoadBalancerExecutor(clock, monitor);
+        loadBalancerExecutor = new LoadBalancerExecutor(clock, monitor);
         upstreams = newUpstreamPool();
         requests = new RequestDispatcher(
-                loop, clock, loadBalancer, upstreams, settings().limits().maxAttempts(), statistics);
+                loop,
+                clock,
+                loadBalancerExecutor,
+                upstreams,
+                settings().limits().maxAttempts(),
+                statistics);
         discovery = newDiscoveryWatch(watchTimeouts, discoveryBackoff);
         gossip = new GossipTransport(
-                clock, loadBalancer, configuration.gossipPeers(), configuration.gossipBroadcastAddress());
+                clock, loadBalancerExecutor, configuration.gossipPeers(), configuration.gossipBroadcastAddress());
         clients = newClientServer();
         maintenance = new MaintenanceTask(eventLoop, monitor, statistics, clients, requests, upstreams);
     }
@@ -102,7 +107,7 @@
         return new DiscoveryWatch(
                 loop,
                 clock,
-                loadBalancer,
+                loadBalancerExecutor,
                 upstreams::updateEndpoints,
                 new DiscoveryWatch.Options(
                         configuration.discoveryAddress(),
@@ -175,9 +180,9 @@
     }
 
     private void startLoadBalancer() {
-        loadBalancer.start(
+        loadBalancerExecutor.start(
                 this::newLoadBalancer,
-                new DecisionExecutor(eventLoop, loadBalancer, requests, upstreams, discovery, gossip));
+                new SidecarActions(eventLoop, loadBalancerExecutor, requests, upstreams, discovery, gossip));
     }
 
     private LoadBalancer newLoadBalancer(LoadBalancerActions actions) {
@@ -232,10 +237,7 @@
     public void applyConfiguration(SidecarConfiguration reloaded) {
         loop.execute(() -> {
             discovery.moveTo(reloaded.discoveryAddress());
-            // Compares the text, because the first comparison of the settings records would load a hundred classes on
-            // the event loop.
-            if (!reloaded.settingsText().equals(configuration.settingsText())
-                    || !reloaded.gossipPeers().equals(configuration.gossipPeers())) {
+            if (hasNewSettingsOrPeers(reloaded)) {
                 configuration = reloaded;
                 applySettings(reloaded);
                 SidecarLog.info("configuration_applied " + reloaded.describeLimits());
@@ -243,11 +245,18 @@
         });
     }
 
+    private boolean hasNewSettingsOrPeers(SidecarConfiguration reloaded) {
+        // Compares the text, because the first comparison of the settings records would load a hundred classes.
+        return !reloaded.settingsText().equals(configuration.settingsText())
+                || !reloaded.gossipPeers().equals(configuration.gossipPeers());
+    }
+
     private void applySettings(SidecarConfiguration reloaded) {
         LoadBalancerSettings settings = reloaded.settings();
         gossip.updatePeers(reloaded.gossipPeers(), reloaded.gossipBroadcastAddress());
         // The load balancer comes first, as it must know a new class before a request of that class is accepted.
-        loadBalancer.submit("settings", module -> module.onSettings(clock.nowMicros(), settings), () -> {});
+        loadBalancerExecutor.submit(
+                "settings", loadBalancer -> loadBalancer.onSettings(clock.nowMicros(), settings), () -> {});
         requests.updateMaxAttempts(settings.limits().maxAttempts());
         upstreams.updateTimeouts(upstreamTimeouts(settings));
         clients.updateRequestClasses(settings.requestClasses());
--- a/src/main/java/loadbalancer/proxy/lifecycle/DecisionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarActions.java
@@ -23,7 +23,7 @@
  * Carries out the actions of the load balancer by calling the part of the sidecar that each concerns. Confined to the
  * event loop.
  */
-final class DecisionExecutor implements LoadBalancerActions {
+final class SidecarActions implements LoadBalancerActions {
     /** A load report that takes longer is too old to describe the current load. */
     private static final long HEALTH_CHECK_TIMEOUT_MICROS = 50_000;
 
@@ -31,22 +31,22 @@
 
     private final EventLoop loop;
     private final MonotonicClock clock;
-    private final LoadBalancerExecutor loadBalancer;
+    private final LoadBalancerExecutor loadBalancerExecutor;
     private final RequestDispatcher requests;
     private final UpstreamConnectionPool upstreams;
     private final DiscoveryWatch discovery;
     private final GossipTransport gossip;
 
-    DecisionExecutor(
+    SidecarActions(
             ReadTrackingEventLoop eventLoop,
-            LoadBalancerExecutor loadBalancer,
+            LoadBalancerExecutor loadBalancerExecutor,
             RequestDispatcher requests,
             UpstreamConnectionPool upstreams,
             DiscoveryWatch discovery,
             GossipTransport gossip) {
         loop = eventLoop.eventLoop();
         clock = eventLoop.clock();
-        this.loadBalancer = loadBalancer;
+        this.loadBalancerExecutor = loadBalancerExecutor;
         this.requests = requests;
         this.upstreams = upstreams;
         this.discovery = discovery;
@@ -87,10 +87,10 @@
     }
 
     private void healthCheckCompleted(UpstreamCall call, AttemptOutcome outcome, LoadReport report) {
-        loadBalancer.submit(
+        loadBalancerExecutor.submit(
                 "health_check",
-                module -> module.onHealthCheck(
-                        clock.nowMicros(), call.endpoint(), outcome, clock.nowMicros() - call.sentMicros(), report),
+                loadBalancer -> loadBalancer.onHealthCheck(
+                        clock.nowMicros(), call.endpoint(), outcome, clock.nowMicros() - call.startedMicros(), report),
                 () -> {});
     }
 
@@ -112,9 +112,9 @@
     @Override
     public void startTimer(String timerName, long delayMicros) {
         loop.schedule(
-                () -> loadBalancer.submit(
+                () -> loadBalancerExecutor.submit(
                         "timer",
-                        module -> module.onTimer(clock.nowMicros(), timerName),
+                        loadBalancer -> loadBalancer.onTimer(clock.nowMicros(), timerName),
                         requests::failRequestsWithoutAttemptInFlight),
                 delayMicros,
                 TimeUnit.MICROSECONDS);
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseStallTimer.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseStallTimer.java
@@ -32,10 +32,10 @@
     }
 
     /** A part of a response was read. */
-    void recordProgress(ChannelHandlerContext ctx) {
+    void recordProgress(ChannelHandlerContext context) {
         lastProgressNanos = System.nanoTime();
         if (check == null) {
-            schedule(ctx, stallMicros);
+            schedule(context, stallMicros);
         }
     }
 
@@ -46,20 +46,20 @@
         }
     }
 
-    private void schedule(ChannelHandlerContext ctx, long delayMicros) {
-        check = ctx.executor().schedule(() -> check(ctx), delayMicros, TimeUnit.MICROSECONDS);
+    private void schedule(ChannelHandlerContext context, long delayMicros) {
+        check = context.executor().schedule(() -> check(context), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void check(ChannelHandlerContext ctx) {
+    private void check(ChannelHandlerContext context) {
         check = null;
         long remainingMicros = stallMicros - (System.nanoTime() - lastProgressNanos) / 1000;
         if (!responseIncomplete.getAsBoolean()) {
             return;
         }
         if (remainingMicros <= 0) {
-            onStall.accept(ctx);
+            onStall.accept(context);
         } else {
-            schedule(ctx, remainingMicros);
+            schedule(context, remainingMicros);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -26,8 +26,8 @@
     private final LongFunction<FullHttpRequest> requestFactory;
     private final UpstreamCallListener listener;
 
-    private long sentMicros;
-    /** 0 until the end is recorded; see {@link #noteEnd}. */
+    private long startedMicros;
+    /** 0 until the end is recorded; see {@link #recordEnd}. */
     private long endedMicros;
     /** The endpoint process that the call goes to; null until the call is started. */
     private UpstreamEndpoint target;
@@ -82,17 +82,17 @@
     }
 
     /** When the call was started. */
-    public long sentMicros() {
-        return sentMicros;
+    public long startedMicros() {
+        return startedMicros;
     }
 
-    /** When the call ended; 0 until {@link #noteEnd} is called. */
+    /** When the call ended; 0 until {@link #recordEnd} is called. */
     public long endedMicros() {
         return endedMicros;
     }
 
     /** Records when the call ended. Only used in the log. */
-    public void noteEnd(long timeMicros) {
+    public void recordEnd(long timeMicros) {
         endedMicros = timeMicros;
     }
 
@@ -120,7 +120,7 @@
 
     /** Ends a call as {@link AttemptOutcome#NOT_SENT} instead of starting it. */
     public void endUnsent(long nowMicros) {
-        sentMicros = nowMicros;
+        startedMicros = nowMicros;
         end(AttemptOutcome.NOT_SENT);
     }
 
@@ -138,7 +138,7 @@
     }
 
     void start(long nowMicros, UpstreamEndpoint listed, Future<?> deadlineTimer) {
-        sentMicros = nowMicros;
+        startedMicros = nowMicros;
         target = listed;
         timeout = deadlineTimer;
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -121,7 +121,7 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse received) {
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse received) {
         if (call == null || response != null || !received.decoderResult().isSuccess()) {
             // An unsolicited response, such as a duplicate, or not HTTP.
             malformed = true;
@@ -135,18 +135,18 @@
      * it.
      */
     @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
+    public void channelReadComplete(ChannelHandlerContext context) {
         if (response != null) {
-            deliver(ctx);
+            deliver(context);
         } else if (malformed || call == null && hasPartialResponse()) {
-            failMalformed(ctx);
+            failMalformed(context);
         } else if (hasPartialResponse()) {
-            stallTimer.recordProgress(ctx);
+            stallTimer.recordProgress(context);
         }
-        ctx.fireChannelReadComplete();
+        context.fireChannelReadComplete();
     }
 
-    private void deliver(ChannelHandlerContext ctx) {
+    private void deliver(ChannelHandlerContext context) {
         FullHttpResponse delivered = response;
         response = null;
         UpstreamCall completed = detachCall();
@@ -154,7 +154,7 @@
             if (HttpUtil.isKeepAlive(delivered) && !hasUnexpectedData() && channel.isActive()) {
                 releaseListener.release(completed, this);
             } else {
-                ctx.close();
+                context.close();
             }
             ResponseClassifier.endCall(completed, delivered);
         } finally {
@@ -170,18 +170,18 @@
         return detached;
     }
 
-    private void failMalformed(ChannelHandlerContext ctx) {
+    private void failMalformed(ChannelHandlerContext context) {
         UpstreamCall failed = detachCall();
-        ctx.close();
+        context.close();
         if (failed != null) {
             failed.malformedResponse();
         }
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
+    public void channelInactive(ChannelHandlerContext context) {
         if (response != null) {
-            deliver(ctx);
+            deliver(context);
         }
         UpstreamCall lost = detachCall();
         if (lost != null) {
@@ -194,13 +194,13 @@
      * malformed.
      */
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (response != null) {
             malformed = true;
         } else if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
-            ctx.close();
+            context.close();
         } else {
-            failMalformed(ctx);
+            failMalformed(context);
         }
     }
 }
