--- a/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
 import loadbalancer.decision.RecordedAction.SentAttempt;
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
@@ -15,6 +16,25 @@
 class SlowStartBudgetTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
+    /** Endpoint a, whose process has started at the moment at which every fixture starts. */
+    private static final Endpoint JUST_STARTED =
+            new Endpoint("a", "za", "k", 1, new PolicyFixture().nowMicros, 1, EndpointState.READY);
+
+    /** The sidecars of one fleet, each with its own index and seed and with the same endpoints listed. */
+    private static List<PolicyFixture> fleet(
+            int sidecarCount, Consumer<PolicyFixture> furtherSettings, Endpoint... endpoints) {
+        List<PolicyFixture> fixtures = new ArrayList<>();
+        for (int i = 0; i < sidecarCount; i++) {
+            PolicyFixture fixture = new PolicyFixture();
+            fixture.sidecarIndex = i;
+            fixture.seed = i;
+            fixture.sidecarCount = sidecarCount;
+            fixture.latencyObjectiveMicros = 400_000;
+            furtherSettings.accept(fixture);
+            fixtures.add(fixture.start().listed(endpoints));
+        }
+        return fixtures;
+    }
 
     @Test
     void sidecarKeepsToItsPartOfTheBudget() {
@@ -42,16 +62,7 @@
     @Test
     void manySidecarsTogetherKeepToTheBudget() {
         int sidecarCount = 600;
-        List<PolicyFixture> fixtures = new ArrayList<>();
-        for (int i = 0; i < sidecarCount; i++) {
-            PolicyFixture fixture = new PolicyFixture();
-            fixture.sidecarIndex = i;
-            fixture.seed = i;
-            fixture.sidecarCount = sidecarCount;
-            fixture.latencyObjectiveMicros = 400_000;
-            fixtures.add(
-                    fixture.start().listed(new Endpoint("a", "za", "k", 1, fixture.nowMicros, 1, EndpointState.READY)));
-        }
+        List<PolicyFixture> fixtures = fleet(sidecarCount, fixture -> {}, JUST_STARTED);
         List<Long> sends = new ArrayList<>();
         for (int step = 0; step < 800; step++) {
             for (PolicyFixture fixture : fixtures) {
@@ -74,17 +85,7 @@
     @Test
     void manySidecarsWithHealthChecksKeepToTheBudget() {
         int sidecarCount = 500;
-        List<PolicyFixture> fixtures = new ArrayList<>();
-        for (int i = 0; i < sidecarCount; i++) {
-            PolicyFixture fixture = new PolicyFixture();
-            fixture.sidecarIndex = i;
-            fixture.seed = i;
-            fixture.sidecarCount = sidecarCount;
-            fixture.latencyObjectiveMicros = 400_000;
-            fixture.healthChecks = true;
-            fixtures.add(
-                    fixture.start().listed(new Endpoint("a", "za", "k", 1, fixture.nowMicros, 1, EndpointState.READY)));
-        }
+        List<PolicyFixture> fixtures = fleet(sidecarCount, fixture -> fixture.healthChecks = true, JUST_STARTED);
         List<Long> sends = new ArrayList<>();
         double workMicros = 0;
         for (int step = 0; step < 2000; step++) {
@@ -119,21 +120,13 @@
     @Test
     void largeFleetUsesSlowStartCapacityWithinTheBudget() {
         int sidecarCount = 100;
-        List<PolicyFixture> fixtures = new ArrayList<>();
         Endpoint[] endpoints = new Endpoint[40];
         for (int i = 0; i < endpoints.length; i++) {
             // Two cores at 0.1 s each: 20 requests a second, and 3 of them at the start of slow start.
             endpoints[i] = new Endpoint("s" + i, "za", "k", 1, i < 20 ? 0 : 1_000_000_000L, 1, EndpointState.READY);
         }
-        for (int i = 0; i < sidecarCount; i++) {
-            PolicyFixture fixture = new PolicyFixture();
-            fixture.sidecarIndex = i;
-            fixture.seed = i;
-            fixture.sidecarCount = sidecarCount;
-            fixture.latencyObjectiveMicros = 400_000;
-            fixture.loadReporting = LoadReporting.NONE;
-            fixtures.add(fixture.start().listed(endpoints));
-        }
+        List<PolicyFixture> fixtures =
+                fleet(sidecarCount, fixture -> fixture.loadReporting = LoadReporting.NONE, endpoints);
         Map<String, List<Long>> sends = new HashMap<>();
         for (int step = 0; step < 800; step++) {
             for (int i = 0; i < sidecarCount; i++) {
