--- a/src/test/java/loadbalancer/proxy/testing/StubServer.java
+++ b/src/test/java/loadbalancer/proxy/testing/StubServer.java
@@ -93,18 +93,20 @@
     public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final ServerSocket server;
+    private final Thread acceptor;
     public volatile Script script;
 
     public StubServer(Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        startDaemon(this::accept);
+        acceptor = startDaemon(this::accept);
     }
 
-    private static void startDaemon(Runnable task) {
+    private static Thread startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
+        return thread;
     }
 
     public String address() {
@@ -160,11 +162,25 @@
         return new Message(message.head, new String(body, StandardCharsets.ISO_8859_1));
     }
 
+    /**
+     * Once it returns, the port refuses connections and every connection that was accepted is closed. Closing the
+     * listener is not enough for that: the accepting thread may still be inside the kernel's accept() and take one more
+     * connection, which would be served and never closed. So this waits for that thread to end; it fails after 20 s.
+     */
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket socket : sockets) {
-            socket.close();
+        try {
+            acceptor.join(20_000);
+            if (acceptor.isAlive()) {
+                throw new AssertionError("the accepting thread did not end");
+            }
+        } catch (InterruptedException e) {
+            throw new InterruptedIOException();
+        } finally {
+            for (Socket socket : sockets) {
+                socket.close();
+            }
         }
     }
 
