--- a/src/main/java/loadbalancer/decision/AdmissionControl.java
+++ b/src/main/java/loadbalancer/decision/AdmissionControl.java
@@ -16,26 +16,26 @@
     private final PolicySettings settings;
     private final SplittableRandom random;
     private final FleetLoadEstimator fleetLoad;
-    private final RoutingTable routing;
+    private final RoutingTable routingTable;
 
     AdmissionControl(
-            PolicySettings settings, SplittableRandom random, FleetLoadEstimator fleetLoad, RoutingTable routing) {
+            PolicySettings settings, SplittableRandom random, FleetLoadEstimator fleetLoad, RoutingTable routingTable) {
         this.settings = settings;
         this.random = random;
         this.fleetLoad = fleetLoad;
-        this.routing = routing;
+        this.routingTable = routingTable;
     }
 
     /** Whether to turn the request down at once. Draws a random number unless the capacity is 0. */
     boolean shouldShed(long nowMicros, PendingRequest request) {
-        double capacity = routing.capacityPerSecond();
+        double capacity = routingTable.capacityPerSecond();
         if (capacity <= 0) {
             return false;
         }
         double waitMicros =
-                RateMath.MICROS_PER_SECOND * (fleetLoad.fleetInFlight(nowMicros) - routing.cores()) / capacity;
+                RateMath.MICROS_PER_SECOND * (fleetLoad.fleetInFlight(nowMicros) - routingTable.cores()) / capacity;
         double priority = settings.relativePriority(request.requestClass());
-        double waitRatio = waitMicros / (settings.topLatencyObjectiveMicros() * Math.sqrt(priority));
+        double waitRatio = waitMicros / (settings.highestPriorityObjectiveMicros() * Math.sqrt(priority));
         return random.nextDouble() * (SHED_ALL_RATIO - SHED_NONE_RATIO) < waitRatio - SHED_NONE_RATIO;
     }
 }
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -15,7 +15,7 @@
 
     private final PendingRequest request;
     private final TrackedEndpoint endpoint;
-    private final Endpoint listing;
+    private final Endpoint listEntry;
     private final AttemptForecast forecast;
     private final long sentMicros;
     private final long connectionIdleMicros;
@@ -31,7 +31,7 @@
             long connectionIdleMicros) {
         this.request = request;
         this.endpoint = endpoint;
-        listing = endpoint.listing();
+        listEntry = endpoint.listEntry();
         this.forecast = forecast;
         this.sentMicros = sentMicros;
         this.connectionIdleMicros = connectionIdleMicros;
@@ -56,8 +56,8 @@
     }
 
     /** The endpoint's entry in the endpoint list at the time of the send. */
-    Endpoint listing() {
-        return listing;
+    Endpoint listEntry() {
+        return listEntry;
     }
 
     AttemptForecast forecast() {
@@ -83,17 +83,17 @@
     }
 
     boolean isOverdue(long nowMicros) {
-        return nowMicros - sentMicros >= OVERDUE_RATIO * forecast.timeMicros();
+        return nowMicros - sentMicros >= OVERDUE_RATIO * forecast.responseMicros();
     }
 
     /** Whether the endpoint has responded to an attempt sent later: it works, and its queue is past this attempt. */
     boolean isOvertaken() {
-        return endpoint.attempts.hasAnsweredOneSentAfter(sentMicros);
+        return endpoint.attempts.hasRespondedToOneSentAfter(sentMicros);
     }
 
     /** Whether it is overtaken and so late that it was more likely lost on the network than still being worked on. */
     boolean isMissing(long nowMicros) {
-        return isOvertaken() && nowMicros - sentMicros > MISSING_RATIO * forecast.timeMicros();
+        return isOvertaken() && nowMicros - sentMicros > MISSING_RATIO * forecast.responseMicros();
     }
 
     /** Whether its timeout would be a failure of the connection rather than of the endpoint. */
@@ -102,7 +102,7 @@
     }
 
     /** Whether the endpoint has responded to another attempt within the last few times this attempt's forecast time. */
-    boolean isEndpointAnswering(long nowMicros) {
-        return nowMicros - endpoint.attempts.answeredMicros() < MISSING_RATIO * forecast.timeMicros();
+    boolean isEndpointResponding(long nowMicros) {
+        return nowMicros - endpoint.attempts.lastResponseMicros() < MISSING_RATIO * forecast.responseMicros();
     }
 }
--- a/src/main/java/loadbalancer/decision/AttemptForecaster.java
+++ b/src/main/java/loadbalancer/decision/AttemptForecaster.java
@@ -14,7 +14,7 @@
 
     AttemptForecast forecast(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
         double load = loads.load(endpoint, nowMicros) + fleetLoad.remoteInFlight(endpoint, nowMicros);
-        double timeMicros = speeds.expectedMicros(endpoint, request.workMicros(), load, nowMicros);
-        return new AttemptForecast(load, timeMicros, timeMicros / endpoint.speedFactor());
+        double responseMicros = speeds.expectedResponseMicros(endpoint, request.workMicros(), load, nowMicros);
+        return new AttemptForecast(load, responseMicros, responseMicros / endpoint.speedFactor());
     }
 }
--- a/src/main/java/loadbalancer/decision/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
@@ -1,37 +1,37 @@
 package loadbalancer.decision;
 
 /** Handles the outcome of an attempt: updates the estimates of its endpoint, then decides on the request. */
-final class AttemptOutcomes {
+final class AttemptOutcomeHandler {
     private final EndpointRegistry registry;
     private final RequestTracker requests;
     private final InFlightAttempts attempts;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private final OutcomeEvaluator evaluator;
-    private final LoadReports reports;
+    private final LoadReportHandler reportHandler;
     private final RequestScheduler scheduler;
 
-    AttemptOutcomes(
+    AttemptOutcomeHandler(
             EndpointRegistry registry,
             RequestTracker requests,
             InFlightAttempts attempts,
-            IdleConnectionGuard idleConnections,
+            IdleConnectionPolicy idleConnections,
             OutcomeEvaluator evaluator,
-            LoadReports reports,
+            LoadReportHandler reportHandler,
             RequestScheduler scheduler) {
         this.registry = registry;
         this.requests = requests;
         this.attempts = attempts;
         this.idleConnections = idleConnections;
         this.evaluator = evaluator;
-        this.reports = reports;
+        this.reportHandler = reportHandler;
         this.scheduler = scheduler;
     }
 
     void onOutcome(long nowMicros, AttemptResult result) {
-        reports.take(result.endpointId(), result.loadReport(), nowMicros);
+        reportHandler.onReport(result.endpointId(), result.loadReport(), nowMicros);
         PendingRequest request = requests.find(result.requestId());
         if (request == null) {
-            reports.clearFresh();
+            reportHandler.clearFresh();
             return;
         }
         Attempt attempt = request.attemptInFlight(result.attempt());
@@ -41,16 +41,16 @@
         endAttempt(nowMicros, attempt, result);
         decide(nowMicros, request, result);
         scheduler.dispatch(nowMicros);
-        reports.clearFresh();
+        reportHandler.clearFresh();
     }
 
     private void endAttempt(long nowMicros, Attempt attempt, AttemptResult result) {
         TrackedEndpoint endpoint = attempt.endpoint();
         attempt.end(result.outcome());
         attempts.remove(nowMicros, attempt, result.outcome());
-        idleConnections.noteUse(nowMicros, endpoint);
+        idleConnections.recordUse(nowMicros, endpoint);
         idleConnections.closeIfDraining(endpoint);
-        registry.forgetIfDone(endpoint);
+        registry.discardIfUnused(endpoint);
         evaluator.evaluate(nowMicros, attempt, result.outcome(), result.latencyMicros());
     }
 
--- a/src/main/java/loadbalancer/decision/AttemptSender.java
+++ b/src/main/java/loadbalancer/decision/AttemptSender.java
@@ -6,7 +6,7 @@
     private final AttemptForecaster forecaster;
     private final InFlightAttempts attempts;
     private final SlowStartBudget slowStartBudget;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private final OverdueAttemptTimer overdueTimer;
     private final LoadBalancerActions actions;
 
@@ -15,7 +15,7 @@
             AttemptForecaster forecaster,
             InFlightAttempts attempts,
             SlowStartBudget slowStartBudget,
-            IdleConnectionGuard idleConnections,
+            IdleConnectionPolicy idleConnections,
             OverdueAttemptTimer overdueTimer,
             LoadBalancerActions actions) {
         this.retries = retries;
--- a/src/main/java/loadbalancer/decision/EndpointAvailability.java
+++ b/src/main/java/loadbalancer/decision/EndpointAvailability.java
@@ -34,7 +34,7 @@
     }
 
     /** Whether the endpoint is healthy, may be sent the request and has the room that is needed. */
-    boolean hasRoom(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
+    boolean canTake(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
         if (!outliers.isAvailable(endpoint, nowMicros) || !retries.maySend(nowMicros, request, endpoint)) {
             return false;
         }
@@ -48,12 +48,12 @@
         if (load + 1 > Math.max(1, LoadEstimator.maxLoad(cores)) + tolerance) {
             return false;
         }
-        boolean idle = !settings.localLoadIsSmallPart() && load < IDLE_LOAD && capacityRatio >= 1;
-        return idle || answersInTime(nowMicros, request, endpoint, load);
+        boolean idle = !settings.localLoadIsUnrepresentative() && load < IDLE_LOAD && capacityRatio >= 1;
+        return idle || respondsInTime(nowMicros, request, endpoint, load);
     }
 
-    private boolean answersInTime(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, double load) {
-        double expectedMicros = speeds.expectedMicros(endpoint, request.workMicros(), load, nowMicros);
-        return nowMicros + expectedMicros <= request.usefulUntilMicros();
+    private boolean respondsInTime(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, double load) {
+        double expectedResponseMicros = speeds.expectedResponseMicros(endpoint, request.workMicros(), load, nowMicros);
+        return nowMicros + expectedResponseMicros <= request.usefulUntilMicros();
     }
 }
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -14,12 +14,12 @@
  */
 final class EndpointRegistry {
     private final PolicySettings settings;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private final Map<String, TrackedEndpoint> endpoints = new LinkedHashMap<>();
     private final Map<String, MachineTypeEstimate> machineTypes = new LinkedHashMap<>();
     private final List<TrackedEndpoint> ready = new ArrayList<>();
 
-    EndpointRegistry(PolicySettings settings, IdleConnectionGuard idleConnections) {
+    EndpointRegistry(PolicySettings settings, IdleConnectionPolicy idleConnections) {
         this.settings = settings;
         this.idleConnections = idleConnections;
     }
@@ -30,21 +30,21 @@
             machineTypeOrNew(name);
         }
         for (TrackedEndpoint endpoint : endpoints.values()) {
-            endpoint.setZone(settings.zoneIndex(endpoint.listing().zone()));
+            endpoint.setZone(settings.zoneIndex(endpoint.listEntry().zone()));
         }
     }
 
     /** Applies a list. Endpoints that a full or cached list does not name are removed. */
-    void onEndpointList(EndpointListType type, List<Endpoint> listings) {
+    void onEndpointList(EndpointListType type, List<Endpoint> listEntries) {
         Set<String> named = new HashSet<>();
-        for (Endpoint listing : listings) {
-            named.add(listing.id());
-            TrackedEndpoint endpoint = endpoints.get(listing.id());
+        for (Endpoint listEntry : listEntries) {
+            named.add(listEntry.id());
+            TrackedEndpoint endpoint = endpoints.get(listEntry.id());
             if (endpoint == null) {
-                endpoint = new TrackedEndpoint(listing, machineTypeOrNew(listing.machineType()));
-                endpoints.put(listing.id(), endpoint);
+                endpoint = new TrackedEndpoint(listEntry, machineTypeOrNew(listEntry.machineType()));
+                endpoints.put(listEntry.id(), endpoint);
             }
-            endpoint.update(listing, settings.zoneIndex(listing.zone()));
+            endpoint.update(listEntry, settings.zoneIndex(listEntry.zone()));
             idleConnections.closeIfDraining(endpoint);
         }
         if (type != EndpointListType.DELTA) {
@@ -55,7 +55,7 @@
                 }
             }
         }
-        endpoints.values().removeIf(TrackedEndpoint::isForgettable);
+        endpoints.values().removeIf(TrackedEndpoint::isDiscardable);
     }
 
     private MachineTypeEstimate machineTypeOrNew(String name) {
@@ -81,8 +81,8 @@
     }
 
     /** Forgets the endpoint if it is removed and has no attempt in flight. */
-    void forgetIfDone(TrackedEndpoint endpoint) {
-        if (endpoint.isForgettable()) {
+    void discardIfUnused(TrackedEndpoint endpoint) {
+        if (endpoint.isDiscardable()) {
             endpoints.remove(endpoint.id(), endpoint);
         }
     }
--- a/src/main/java/loadbalancer/decision/EndpointRouting.java
+++ b/src/main/java/loadbalancer/decision/EndpointRouting.java
@@ -2,7 +2,7 @@
 
 /** Wires the endpoints of one policy with the parts that decide how requests are split over them. */
 final class EndpointRouting {
-    final IdleConnectionGuard idleConnections;
+    final IdleConnectionPolicy idleConnections;
     final EndpointRegistry registry;
     final HealthChecks healthChecks;
     final OutlierDetector outliers;
@@ -15,7 +15,7 @@
         PolicySettings settings = estimators.settings;
         RequestRateEstimator rates = estimators.rates;
         SlowStart slowStart = estimators.slowStart;
-        idleConnections = new IdleConnectionGuard(settings, actions);
+        idleConnections = new IdleConnectionPolicy(settings, actions);
         registry = new EndpointRegistry(settings, idleConnections);
         healthChecks = new HealthChecks(actions);
         outliers = new OutlierDetector(registry);
--- a/src/main/java/loadbalancer/decision/EndpointSelector.java
+++ b/src/main/java/loadbalancer/decision/EndpointSelector.java
@@ -13,49 +13,49 @@
 final class EndpointSelector {
     private final PolicySettings settings;
     private final SplittableRandom random;
-    private final RoutingRefresh refresh;
-    private final RoutingTable routing;
+    private final RoutingRefresher routingRefresher;
+    private final RoutingTable routingTable;
     private final ZoneShares zoneShares;
     private final PowerOfTwoSelector powerOfTwo;
-    private final HealthCheckedSelector healthChecked;
+    private final SampledLoadSelector sampledLoad;
 
     EndpointSelector(
             PolicySettings settings,
             SplittableRandom random,
-            RoutingRefresh refresh,
-            RoutingTable routing,
+            RoutingRefresher routingRefresher,
+            RoutingTable routingTable,
             ZoneShares zoneShares,
             PowerOfTwoSelector powerOfTwo,
-            HealthCheckedSelector healthChecked) {
+            SampledLoadSelector sampledLoad) {
         this.settings = settings;
         this.random = random;
-        this.refresh = refresh;
-        this.routing = routing;
+        this.routingRefresher = routingRefresher;
+        this.routingTable = routingTable;
         this.zoneShares = zoneShares;
         this.powerOfTwo = powerOfTwo;
-        this.healthChecked = healthChecked;
+        this.sampledLoad = sampledLoad;
     }
 
     /** The endpoint for the request, or null where it has to wait. */
     TrackedEndpoint select(long nowMicros, PendingRequest request) {
-        refresh.refresh(nowMicros);
+        routingRefresher.refreshIfDue(nowMicros);
         if (settings.samplesLoad()) {
-            return healthChecked.select(nowMicros, request);
+            return sampledLoad.select(nowMicros, request);
         }
-        WeightedSampler preferred = staysInLocalZone() ? routing.inLocalZone() : routing.inOtherZones();
+        WeightedSampler preferred = staysInLocalZone() ? routingTable.inLocalZone() : routingTable.inOtherZones();
         TrackedEndpoint endpoint = powerOfTwo.select(nowMicros, request, preferred, RoomNeeded.BELOW_LIMIT, null);
         if (endpoint == null) {
-            endpoint = powerOfTwo.select(nowMicros, request, routing.all(), RoomNeeded.FREE_CORE, null);
+            endpoint = powerOfTwo.select(nowMicros, request, routingTable.all(), RoomNeeded.FREE_CORE, null);
         }
         if (endpoint == null) {
-            endpoint = powerOfTwo.select(nowMicros, request, routing.all(), RoomNeeded.BELOW_LIMIT, null);
+            endpoint = powerOfTwo.select(nowMicros, request, routingTable.all(), RoomNeeded.BELOW_LIMIT, null);
         }
         return endpoint;
     }
 
     private boolean staysInLocalZone() {
-        return !settings.localLoadIsSmallPart()
-                || routing.inOtherZones().size() == 0
+        return !settings.localLoadIsUnrepresentative()
+                || routingTable.inOtherZones().size() == 0
                 || random.nextDouble() < zoneShares.localShare();
     }
 }
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -32,7 +32,7 @@
     private final EndpointRegistry registry;
     private final RequestRateEstimator rates;
     private final ZoneShares zoneShares;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private List<TrackedEndpoint> members = List.of();
     private long updatedMicros;
     private double wantedSize;
@@ -57,7 +57,7 @@
             EndpointRegistry registry,
             RequestRateEstimator rates,
             ZoneShares zoneShares,
-            IdleConnectionGuard idleConnections) {
+            IdleConnectionPolicy idleConnections) {
         this.settings = settings;
         this.registry = registry;
         this.rates = rates;
@@ -90,7 +90,7 @@
         Map<ZoneAndType, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
         for (TrackedEndpoint endpoint : registry.ready()) {
             ZoneAndType key =
-                    new ZoneAndType(endpoint.zone(), endpoint.listing().machineType());
+                    new ZoneAndType(endpoint.zone(), endpoint.listEntry().machineType());
             groups.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
             zoneSizes[endpoint.zone()]++;
         }
@@ -105,7 +105,7 @@
     /** The size wanted now; remembers it, so that it can shrink slowly. */
     private double size() {
         double ready = registry.ready().size();
-        double arc = RateMath.divide(
+        double arc = RateMath.safeDivide(
                 PolicySettings.SIDECARS_PER_ENDPOINT * ready * rates.localPerSecond(), rates.fleetPerSecond());
         wantedSize = Math.max(Math.max(MIN_SIZE, arc), SHRINK_RATIO * wantedSize);
         if (!idleConnections.hasLimit()) {
--- a/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
@@ -9,19 +9,19 @@
     private final InFlightAttempts attempts;
     private final GossipState gossip;
     private final SlowStart slowStart;
-    private final RoutingTable routing;
+    private final RoutingTable routingTable;
 
     FleetLoadEstimator(
             PolicySettings settings,
             InFlightAttempts attempts,
             GossipState gossip,
             SlowStart slowStart,
-            RoutingTable routing) {
+            RoutingTable routingTable) {
         this.settings = settings;
         this.attempts = attempts;
         this.gossip = gossip;
         this.slowStart = slowStart;
-        this.routing = routing;
+        this.routingTable = routingTable;
     }
 
     /** Requests of this sidecar that ready endpoints hold, without ejected ones, where no new request would wait. */
@@ -46,14 +46,14 @@
     double remoteInFlight(TrackedEndpoint endpoint, long nowMicros) {
         if (settings.hasLoadReports()
                 || livePeers() == 0
-                || routing.cores() <= 0
+                || routingTable.cores() <= 0
                 || OutlierDetector.isEjected(endpoint, nowMicros)) {
             return 0;
         }
         return (fleetInFlight(nowMicros) - localInFlight(nowMicros))
                 * endpoint.machineType().cores()
                 * slowStart.capacityRatio(endpoint, nowMicros)
-                / routing.cores();
+                / routingTable.cores();
     }
 
     /** Number of live peers behind the estimate. */
--- a/src/main/java/loadbalancer/decision/GossipMessage.java
+++ b/src/main/java/loadbalancer/decision/GossipMessage.java
@@ -34,9 +34,9 @@
     /**
      * A sidecar's estimates of one machine type, as defined at {@link MachineTypeEstimate}.
      *
-     * @param answers number of responses behind the estimates, up to 255
+     * @param responses number of responses behind the estimates, up to 255
      */
-    record MachineTypeSample(double speedFactor, double cores, int answers) {}
+    record MachineTypeSample(double speedFactor, double cores, int responses) {}
 
     byte[] encode() {
         ByteBuffer buffer = ByteBuffer.allocate(encodedLength(machineTypes.size()));
@@ -46,7 +46,7 @@
         for (MachineTypeSample sample : machineTypes) {
             buffer.putShort(unsigned(sample.speedFactor() * SAMPLE_UNITS));
             buffer.putShort(unsigned(sample.cores() * SAMPLE_UNITS));
-            buffer.put((byte) Math.min(MAX_BYTE, sample.answers()));
+            buffer.put((byte) Math.min(MAX_BYTE, sample.responses()));
         }
         buffer.putShort(unsigned(idleLimitMicros / MICROS_PER_MILLI));
         return buffer.array();
--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -12,13 +12,13 @@
     private final PolicySettings settings;
     private final GossipState gossip;
     private final EndpointRegistry registry;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
 
     GossipReceiver(
             PolicySettings settings,
             GossipState gossip,
             EndpointRegistry registry,
-            IdleConnectionGuard idleConnections) {
+            IdleConnectionPolicy idleConnections) {
         this.settings = settings;
         this.gossip = gossip;
         this.registry = registry;
@@ -37,7 +37,7 @@
         gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zone(), nowMicros));
         for (int i = 0; i < machineTypes.size(); i++) {
             registry.machineType(machineTypes.get(i))
-                    .blend(message.machineTypes().get(i));
+                    .mergePeerEstimate(message.machineTypes().get(i));
         }
         if (message.idleLimitMicros() > 0) {
             idleConnections.lowerLimit(nowMicros, message.idleLimitMicros());
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -25,7 +25,7 @@
     private final EndpointRegistry registry;
     private final RequestRateEstimator rates;
     private final FleetLoadEstimator fleetLoad;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private boolean timerRunning;
 
     GossipSender(
@@ -79,7 +79,7 @@
                 rates.localPerSecond(),
                 fleetLoad.localInFlight(nowMicros),
                 samples,
-                idleConnections.locallySeenLimitMicros(nowMicros));
+                idleConnections.locallyObservedLimitMicros(nowMicros));
     }
 
     /** Messages that this sidecar can afford in an interval; each sidecar gets an equal part of the fleet's budget. */
@@ -87,7 +87,7 @@
         double price = settings.prices().gossip() * bytes / PRICED_BYTES;
         double pricePerSecond = price * RateMath.MICROS_PER_SECOND / INTERVAL_MICROS;
         double budgetPerSecond = MAX_TOTAL_PRICE * rates.fleetPerSecond() / settings.sidecarCount();
-        return RateMath.divide(budgetPerSecond, pricePerSecond);
+        return RateMath.safeDivide(budgetPerSecond, pricePerSecond);
     }
 
     private void sendToSome(int messages, byte[] bytes) {
--- a/src/main/java/loadbalancer/decision/HealthCheckResults.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
@@ -1,26 +1,26 @@
 package loadbalancer.decision;
 
 /** Handles the outcomes of health checks: updates health and load of the endpoint, then serves the queue. */
-final class HealthCheckResults {
+final class HealthCheckOutcomeHandler {
     private final EndpointRegistry registry;
     private final HealthChecks healthChecks;
     private final OutlierDetector outliers;
     private final LoadEstimator loads;
-    private final LoadReports reports;
+    private final LoadReportHandler reportHandler;
     private final RequestScheduler scheduler;
 
-    HealthCheckResults(
+    HealthCheckOutcomeHandler(
             EndpointRegistry registry,
             HealthChecks healthChecks,
             OutlierDetector outliers,
             LoadEstimator loads,
-            LoadReports reports,
+            LoadReportHandler reportHandler,
             RequestScheduler scheduler) {
         this.registry = registry;
         this.healthChecks = healthChecks;
         this.outliers = outliers;
         this.loads = loads;
-        this.reports = reports;
+        this.reportHandler = reportHandler;
         this.scheduler = scheduler;
     }
 
@@ -40,9 +40,9 @@
         } else if (report == null) {
             loads.assumeFull(endpoint, nowMicros);
         }
-        reports.take(endpointId, report, nowMicros);
+        reportHandler.onReport(endpointId, report, nowMicros);
         scheduler.dispatch(nowMicros);
-        reports.clearFresh();
+        reportHandler.clearFresh();
     }
 
     private static int failureWeight(AttemptOutcome outcome) {
--- a/src/main/java/loadbalancer/decision/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgingPolicy.java
@@ -12,8 +12,8 @@
     /** The most hedged requests that the budget can hold. */
     private static final double MAX_BUDGET = 10;
 
-    private final RoutingTable routing;
-    private final RoutingRefresh refresh;
+    private final RoutingTable routingTable;
+    private final RoutingRefresher routingRefresher;
     private final HealthChecks healthChecks;
     private final PowerOfTwoSelector powerOfTwo;
     private final AttemptSender sender;
@@ -23,15 +23,15 @@
     private double budget;
 
     HedgingPolicy(
-            RoutingTable routing,
-            RoutingRefresh refresh,
+            RoutingTable routingTable,
+            RoutingRefresher routingRefresher,
             HealthChecks healthChecks,
             PowerOfTwoSelector powerOfTwo,
             AttemptSender sender,
             OverdueAttemptTimer overdueTimer,
             LoadBalancerActions actions) {
-        this.routing = routing;
-        this.refresh = refresh;
+        this.routingTable = routingTable;
+        this.routingRefresher = routingRefresher;
         this.healthChecks = healthChecks;
         this.powerOfTwo = powerOfTwo;
         this.sender = sender;
@@ -76,11 +76,12 @@
     }
 
     private void hedge(long nowMicros, PendingRequest request, TrackedEndpoint excluded) {
-        refresh.refresh(nowMicros);
+        routingRefresher.refreshIfDue(nowMicros);
         if (budget < 1) {
             return;
         }
-        TrackedEndpoint endpoint = powerOfTwo.select(nowMicros, request, routing.all(), RoomNeeded.FREE_CORE, excluded);
+        TrackedEndpoint endpoint =
+                powerOfTwo.select(nowMicros, request, routingTable.all(), RoomNeeded.FREE_CORE, excluded);
         if (endpoint != null) {
             budget--;
             sender.send(nowMicros, request, endpoint);
@@ -92,7 +93,7 @@
         if (request == null || request.isFinished() || request.isQueued()) {
             return null;
         }
-        if (nowMicros + routing.bestSpeedFactor() * request.workMicros() > request.usefulUntilMicros()) {
+        if (nowMicros + routingTable.bestSpeedFactor() * request.workMicros() > request.usefulUntilMicros()) {
             return null;
         }
         Attempt inFlight = null;
--- a/src/main/java/loadbalancer/decision/IdleConnectionGuard.java
+++ b/src/main/java/loadbalancer/decision/IdleConnectionPolicy.java
@@ -6,7 +6,7 @@
  * connection, not on the endpoint. It sets a limit; connections that were idle for longer than the limit are closed
  * before use, until no such failure has been seen for a while.
  */
-final class IdleConnectionGuard {
+final class IdleConnectionPolicy {
     /** A connection idle for less than this is not suspected of having been dropped. */
     private static final long MIN_LIMIT_MICROS = 200_000;
 
@@ -26,7 +26,7 @@
 
     private long keptSeenMicros;
     /** When an attempt of this sidecar last failed on a connection that was idle for long. */
-    private long locallySeenMicros = RateMath.NEVER_MICROS;
+    private long locallyObservedMicros = RateMath.NEVER_MICROS;
 
     /** When this sidecar's connections to an endpoint were last used. */
     static final class ConnectionUse {
@@ -39,7 +39,7 @@
         }
     }
 
-    IdleConnectionGuard(PolicySettings settings, LoadBalancerActions actions) {
+    IdleConnectionPolicy(PolicySettings settings, LoadBalancerActions actions) {
         this.settings = settings;
         this.actions = actions;
     }
@@ -70,12 +70,12 @@
             actions.closeIdleConnections(endpoint.id());
             idleMicros = 0;
         }
-        noteUse(nowMicros, endpoint);
+        recordUse(nowMicros, endpoint);
         return idleMicros;
     }
 
     /** Notes that a connection to the endpoint was in use until now. */
-    void noteUse(long nowMicros, TrackedEndpoint endpoint) {
+    void recordUse(long nowMicros, TrackedEndpoint endpoint) {
         endpoint.connections.lastUsedMicros = nowMicros;
     }
 
@@ -93,7 +93,7 @@
         if (!settings.usesSubset() || idleMicros < MIN_LIMIT_MICROS || !isSuspect(nowMicros, idleMicros, outcome)) {
             return false;
         }
-        locallySeenMicros = nowMicros;
+        locallyObservedMicros = nowMicros;
         lowerLimit(nowMicros, withMargin(idleMicros));
         return true;
     }
@@ -142,7 +142,7 @@
     }
 
     /** The limit to send in gossip; 0 without a recent local failure, since a limit passed on would never expire. */
-    long locallySeenLimitMicros(long nowMicros) {
-        return nowMicros - locallySeenMicros < FORGET_MICROS ? limitMicros : 0;
+    long locallyObservedLimitMicros(long nowMicros) {
+        return nowMicros - locallyObservedMicros < FORGET_MICROS ? limitMicros : 0;
     }
 }
--- a/src/main/java/loadbalancer/decision/InFlightAttempts.java
+++ b/src/main/java/loadbalancer/decision/InFlightAttempts.java
@@ -9,15 +9,15 @@
     private final Set<TrackedEndpoint> busyEndpoints = new LinkedHashSet<>();
 
     /** The attempts in flight on one endpoint, in the order of their sends, and when it last responded. */
-    static final class OfEndpoint {
+    static final class PerEndpoint {
         /** Initial size of the queue; most endpoints have few attempts at a time. */
         private static final int INITIAL_CAPACITY = 4;
 
         private final ArrayDeque<Attempt> inOrder = new ArrayDeque<>(INITIAL_CAPACITY);
         /** Send time of the attempt that was sent last of those with a response. */
-        private long answeredSentMicros = RateMath.NEVER_MICROS;
+        private long latestRespondedSentMicros = RateMath.NEVER_MICROS;
 
-        private long answeredMicros = RateMath.NEVER_MICROS;
+        private long lastResponseMicros = RateMath.NEVER_MICROS;
 
         int size() {
             return inOrder.size();
@@ -32,8 +32,8 @@
         }
 
         /** Whether the endpoint has responded to an attempt that was sent after this time. */
-        boolean hasAnsweredOneSentAfter(long sentMicros) {
-            return sentMicros < answeredSentMicros;
+        boolean hasRespondedToOneSentAfter(long sentMicros) {
+            return sentMicros < latestRespondedSentMicros;
         }
 
         /** The oldest attempt that is not overtaken, or null: the endpoint is probably working on it. */
@@ -66,8 +66,8 @@
         }
 
         /** When the endpoint last responded, with or without success. */
-        long answeredMicros() {
-            return answeredMicros;
+        long lastResponseMicros() {
+            return lastResponseMicros;
         }
     }
 
@@ -78,14 +78,14 @@
 
     /** Removes an ended attempt, and notes a response of the endpoint. */
     void remove(long nowMicros, Attempt attempt, AttemptOutcome outcome) {
-        OfEndpoint attempts = attempt.endpoint().attempts;
+        PerEndpoint attempts = attempt.endpoint().attempts;
         attempts.inOrder.remove(attempt);
         if (attempts.inOrder.isEmpty()) {
             busyEndpoints.remove(attempt.endpoint());
         }
         if (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR) {
-            attempts.answeredSentMicros = Math.max(attempts.answeredSentMicros, attempt.sentMicros());
-            attempts.answeredMicros = nowMicros;
+            attempts.latestRespondedSentMicros = Math.max(attempts.latestRespondedSentMicros, attempt.sentMicros());
+            attempts.lastResponseMicros = nowMicros;
         }
     }
 
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -16,11 +16,11 @@
     private final Estimators estimators;
     private final EndpointSubset subset;
     private final AdmissionControl admission;
-    private final RoutingRefresh refresh;
+    private final RoutingRefresher routingRefresher;
     private final RequestScheduler scheduler;
     private final HedgingPolicy hedging;
-    private final AttemptOutcomes attemptOutcomes;
-    private final HealthCheckResults healthCheckResults;
+    private final AttemptOutcomeHandler attemptOutcomeHandler;
+    private final HealthCheckOutcomeHandler healthCheckOutcomeHandler;
     private final GossipSender gossipSender;
     private final GossipReceiver gossipReceiver;
     private final DiscoveryBackoff discovery;
@@ -45,16 +45,16 @@
         retries = handling.retries;
         requests = handling.requests;
         admission = handling.admission;
-        refresh = handling.refresh;
+        routingRefresher = handling.routingRefresher;
         scheduler = handling.scheduler;
         hedging = handling.hedging;
-        attemptOutcomes = handling.attemptOutcomes;
-        healthCheckResults = handling.healthCheckResults;
+        attemptOutcomeHandler = handling.attemptOutcomeHandler;
+        healthCheckOutcomeHandler = handling.healthCheckOutcomeHandler;
         gossipSender = new GossipSender(estimators.settings, random, actions, estimators.rates, routing);
         gossipReceiver = new GossipReceiver(estimators.settings, estimators.gossip, endpoints, routing.idleConnections);
         discovery = new DiscoveryBackoff(estimators.settings, actions, random);
         apply(initialSettings);
-        refresh.invalidate(nowMicros);
+        routingRefresher.invalidate(nowMicros);
         discovery.start();
     }
 
@@ -74,17 +74,17 @@
     }
 
     @Override
-    public void onEndpointList(long nowMicros, EndpointListType type, List<Endpoint> listings) {
+    public void onEndpointList(long nowMicros, EndpointListType type, List<Endpoint> listEntries) {
         discovery.onEndpointList(type);
         if (type != EndpointListType.FAILED) {
-            endpoints.onEndpointList(type, listings);
+            endpoints.onEndpointList(type, listEntries);
             onEndpointsChanged(nowMicros);
         }
     }
 
     private void onEndpointsChanged(long nowMicros) {
         endpoints.updateReady();
-        refresh.invalidate(nowMicros);
+        routingRefresher.invalidate(nowMicros);
         subset.invalidate(nowMicros);
         scheduler.dispatch(nowMicros);
     }
@@ -94,9 +94,9 @@
         estimators.rates.countArrival();
         hedging.countArrival();
         PendingRequest accepted = requests.accept(nowMicros, request);
-        refresh.refresh(nowMicros);
+        routingRefresher.refreshIfDue(nowMicros);
         if (admission.shouldShed(nowMicros, accepted)) {
-            requests.giveUp(accepted);
+            requests.rejectOrFail(accepted);
         } else {
             scheduler.schedule(nowMicros, accepted);
         }
@@ -104,7 +104,7 @@
 
     @Override
     public void onAttemptOutcome(long nowMicros, AttemptResult result) {
-        attemptOutcomes.onOutcome(nowMicros, result);
+        attemptOutcomeHandler.onOutcome(nowMicros, result);
     }
 
     @Override
@@ -115,7 +115,7 @@
     @Override
     public void onHealthCheck(
             long nowMicros, String endpointId, AttemptOutcome outcome, long latencyMicros, LoadReport loadReport) {
-        healthCheckResults.onOutcome(nowMicros, endpointId, outcome, loadReport);
+        healthCheckOutcomeHandler.onOutcome(nowMicros, endpointId, outcome, loadReport);
     }
 
     @Override
--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -65,7 +65,7 @@
         if (oldest == null || endpoint.reportedLoad.lostAttempts != 0) {
             return 0;
         }
-        double overdue = (nowMicros - oldest.sentMicros()) / oldest.forecast().timeMicros() - STALL_RATIO;
+        double overdue = (nowMicros - oldest.sentMicros()) / oldest.forecast().responseMicros() - STALL_RATIO;
         return overdue > 0 ? overdue * endpoint.machineType().cores() : 0;
     }
 
--- a/src/main/java/loadbalancer/decision/LoadReports.java
+++ b/src/main/java/loadbalancer/decision/LoadReportHandler.java
@@ -1,19 +1,19 @@
 package loadbalancer.decision;
 
 /** Handles load reports from responses and health checks, and knows which endpoint reported in the current event. */
-final class LoadReports {
+final class LoadReportHandler {
     private final EndpointRegistry registry;
     private final LoadEstimator loads;
     private TrackedEndpoint freshEndpoint;
     private long lastReportMicros = RateMath.NEVER_MICROS;
 
-    LoadReports(EndpointRegistry registry, LoadEstimator loads) {
+    LoadReportHandler(EndpointRegistry registry, LoadEstimator loads) {
         this.registry = registry;
         this.loads = loads;
     }
 
     /** Handles a report; one that is null or lacks the requests in flight is ignored. */
-    void take(String endpointId, LoadReport report, long nowMicros) {
+    void onReport(String endpointId, LoadReport report, long nowMicros) {
         TrackedEndpoint endpoint = registry.find(endpointId);
         if (endpoint == null || report == null || report.inFlight() < 0) {
             return;
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -6,7 +6,7 @@
  */
 final class MachineTypeEstimate {
     /** More responses than this add no confidence to the estimates. */
-    private static final int MAX_ANSWERS = 40;
+    private static final int MAX_RESPONSES = 40;
     /** Without responses for this long the speed factor returns towards its least, so that the type is tried again. */
     private static final long STALE_MICROS = 3_000_000;
     /** Step of that return at each solution of the routing table. */
@@ -30,9 +30,9 @@
     private double leastSpeedFactor = 1;
     private double cores;
     /** Responses behind the estimates. */
-    private int answers;
+    private int responses;
 
-    private long answeredMicros;
+    private long lastObservationMicros;
 
     MachineTypeEstimate(double cores) {
         this.cores = cores;
@@ -48,24 +48,24 @@
 
     /** The estimates in the form in which gossip carries them. */
     GossipMessage.MachineTypeSample sample() {
-        return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_ANSWERS, answers));
+        return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_RESPONSES, responses));
     }
 
     /** Notes the time at which an attempt, with or without a response, was learned from. */
     void recordObservation(long nowMicros) {
-        answeredMicros = nowMicros;
+        lastObservationMicros = nowMicros;
     }
 
     /**
      * Without recent responses, moves the speed factor towards the least one seen: a type that seems slow gets no
      * requests, so no response could correct the estimate.
      */
-    void relax(long nowMicros) {
-        if (nowMicros - answeredMicros > STALE_MICROS) {
+    void decayIfStale(long nowMicros) {
+        if (nowMicros - lastObservationMicros > STALE_MICROS) {
             speedFactor += RETURN_GAIN * (leastSpeedFactor - speedFactor);
         }
         leastSpeedFactor =
-                answers < MAX_ANSWERS ? speedFactor : Math.min(speedFactor, leastSpeedFactor * LEAST_GROWTH_RATIO);
+                responses < MAX_RESPONSES ? speedFactor : Math.min(speedFactor, leastSpeedFactor * LEAST_GROWTH_RATIO);
     }
 
     /**
@@ -76,8 +76,8 @@
      * @param usualGain weight of a step whose response time depends on the speed alone
      */
     void learnSpeed(double observedFactor, double gain, double usualGain) {
-        answers++;
-        double weight = gain * Math.max(LEAST_GAIN_RATIO, 1 / usualGain / (answers + 1));
+        responses++;
+        double weight = gain * Math.max(LEAST_GAIN_RATIO, 1 / usualGain / (responses + 1));
         speedFactor *= 1 + weight * (Math.min(MAX_STEP_RATIO, observedFactor / speedFactor) - 1);
     }
 
@@ -99,16 +99,16 @@
      * Moves the estimates towards those of another sidecar, weighted by the responses behind each. The effect of one
      * message is bounded, so that a wrong one does little harm and later ones correct it.
      */
-    void blend(GossipMessage.MachineTypeSample peer) {
-        int peerWeight = Math.min(MAX_ANSWERS, peer.answers());
+    void mergePeerEstimate(GossipMessage.MachineTypeSample peer) {
+        int peerWeight = Math.min(MAX_RESPONSES, peer.responses());
         if (peer.speedFactor() <= 0 || peerWeight == 0) {
             return;
         }
-        double part = GOSSIP_GAIN * peerWeight / (peerWeight + Math.min(MAX_ANSWERS, answers));
+        double part = GOSSIP_GAIN * peerWeight / (peerWeight + Math.min(MAX_RESPONSES, responses));
         speedFactor += part * (peer.speedFactor() - speedFactor);
         // Cores can be learned only from queued requests, which one of many sidecars seldom has: gossip is needed.
         cores = Math.max(1, cores + part * (Math.min(peer.cores(), MAX_GOSSIP_CORES_RATIO * cores) - cores));
         // Estimates taken from gossip count as half the responses that the sender had.
-        answers = Math.max(answers, peerWeight / 2);
+        responses = Math.max(responses, peerWeight / 2);
     }
 }
--- a/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
+++ b/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
@@ -2,13 +2,16 @@
 
 /** Decides what an attempt's outcome shows about its endpoint's speed, health or load, or about the connection. */
 final class OutcomeEvaluator {
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private final SpeedEstimator speeds;
     private final OutlierDetector outliers;
     private final LoadEstimator loads;
 
     OutcomeEvaluator(
-            IdleConnectionGuard idleConnections, SpeedEstimator speeds, OutlierDetector outliers, LoadEstimator loads) {
+            IdleConnectionPolicy idleConnections,
+            SpeedEstimator speeds,
+            OutlierDetector outliers,
+            LoadEstimator loads) {
         this.idleConnections = idleConnections;
         this.speeds = speeds;
         this.outliers = outliers;
@@ -52,7 +55,7 @@
 
     /** Blames the connection if the endpoint responds to other attempts; else no process listens, so it is ejected. */
     private void evaluateConnectFailure(long nowMicros, Attempt attempt) {
-        int weight = attempt.isEndpointAnswering(nowMicros)
+        int weight = attempt.isEndpointResponding(nowMicros)
                 ? OutlierDetector.CONNECTION_FAILURE_WEIGHT
                 : OutlierDetector.EJECTION_WEIGHT;
         outliers.recordFailure(nowMicros, attempt.endpoint(), weight);
@@ -61,7 +64,7 @@
     /** An endpoint that rejects although it has free cores, and responds to no other attempt, is leaving or broken. */
     private void evaluateRejection(long nowMicros, Attempt attempt) {
         TrackedEndpoint endpoint = attempt.endpoint();
-        if (attempt.isEndpointAnswering(nowMicros)) {
+        if (attempt.isEndpointResponding(nowMicros)) {
             outliers.recordFailure(nowMicros, endpoint, OutlierDetector.CONNECTION_FAILURE_WEIGHT);
         } else if (endpoint.localInFlight() < endpoint.machineType().cores()) {
             outliers.recordPersistentFailure(nowMicros, endpoint);
--- a/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
+++ b/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
@@ -28,7 +28,7 @@
     }
 
     private void startTimer(Attempt attempt, double ratio) {
-        long delayMicros = (long) (ratio * attempt.forecast().timeMicros());
+        long delayMicros = (long) (ratio * attempt.forecast().responseMicros());
         String name = TimerNames.ATTEMPT_OVERDUE + attempt.request().id();
         actions.startTimer(name, Math.max(RequestQueue.SWEEP_MICROS, delayMicros));
     }
--- a/src/main/java/loadbalancer/decision/PendingRequest.java
+++ b/src/main/java/loadbalancer/decision/PendingRequest.java
@@ -18,7 +18,7 @@
     private boolean queued;
     private long overdueCheckMicros;
 
-    final HealthCheckedSelector.Sampling sampling = new HealthCheckedSelector.Sampling();
+    final SampledLoadSelector.Sampling sampling = new SampledLoadSelector.Sampling();
 
     /**
      * @param workMicros its expected work, in microseconds of a standard core
--- a/src/main/java/loadbalancer/decision/PolicySettings.java
+++ b/src/main/java/loadbalancer/decision/PolicySettings.java
@@ -23,8 +23,8 @@
 
     private LoadBalancerSettings current;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
-    private double topPriorityWeight;
-    private long topLatencyObjectiveMicros;
+    private double highestPriorityWeight;
+    private long highestPriorityObjectiveMicros;
     private long longestDeadlineMicros;
     private double quotaSumPerSecond;
     private int localZone;
@@ -33,14 +33,14 @@
     void apply(LoadBalancerSettings settings) {
         current = settings;
         requestClasses.clear();
-        topPriorityWeight = 0;
+        highestPriorityWeight = 0;
         longestDeadlineMicros = 0;
         for (RequestClass requestClass : settings.requestClasses()) {
             requestClasses.put(requestClass.name(), requestClass);
-            topPriorityWeight = Math.max(topPriorityWeight, requestClass.priorityWeight());
+            highestPriorityWeight = Math.max(highestPriorityWeight, requestClass.priorityWeight());
             longestDeadlineMicros = Math.max(longestDeadlineMicros, requestClass.deadlineMicros());
         }
-        topLatencyObjectiveMicros = shortestObjectiveMicros(settings, topPriorityWeight);
+        highestPriorityObjectiveMicros = shortestObjectiveMicros(settings, highestPriorityWeight);
         quotaSumPerSecond =
                 settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
         localZone = zoneIndex(settings.zone());
@@ -90,12 +90,12 @@
 
     /** The class's priority weight relative to the highest one. */
     double relativePriority(RequestClass requestClass) {
-        return requestClass.priorityWeight() / topPriorityWeight;
+        return requestClass.priorityWeight() / highestPriorityWeight;
     }
 
     /** The shortest latency objective of the classes of the highest priority. */
-    long topLatencyObjectiveMicros() {
-        return topLatencyObjectiveMicros;
+    long highestPriorityObjectiveMicros() {
+        return highestPriorityObjectiveMicros;
     }
 
     long longestDeadlineMicros() {
@@ -149,11 +149,11 @@
     /**
      * Whether so many sidecars share an endpoint, without sampled load, that local requests say little about its load.
      */
-    boolean localLoadIsSmallPart() {
+    boolean localLoadIsUnrepresentative() {
         return !samplesLoad && sidecarCount() > SIDECARS_PER_ENDPOINT;
     }
 
-    boolean crossZoneIsPriced() {
+    boolean prefersLocalZone() {
         return prices().crossZone() >= LEAST_CROSS_ZONE_PRICE;
     }
 
--- a/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
+++ b/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
@@ -56,7 +56,7 @@
             TrackedEndpoint excluded) {
         for (int i = 0; i < MAX_DRAWS && candidates.size() > 0; i++) {
             TrackedEndpoint endpoint = candidates.draw(random.nextDouble());
-            if (endpoint != excluded && availability.hasRoom(nowMicros, request, endpoint, needed)) {
+            if (endpoint != excluded && availability.canTake(nowMicros, request, endpoint, needed)) {
                 return endpoint;
             }
         }
@@ -64,7 +64,7 @@
         TrackedEndpoint chosen = null;
         for (int i = 0; i < candidates.size(); i++) {
             TrackedEndpoint endpoint = candidates.get(i);
-            if (endpoint != excluded && availability.hasRoom(nowMicros, request, endpoint, needed)) {
+            if (endpoint != excluded && availability.canTake(nowMicros, request, endpoint, needed)) {
                 weightSum += endpoint.routingWeight();
                 chosen = random.nextDouble() * weightSum < endpoint.routingWeight() ? endpoint : chosen;
             }
--- a/src/main/java/loadbalancer/decision/RateMath.java
+++ b/src/main/java/loadbalancer/decision/RateMath.java
@@ -11,7 +11,7 @@
     private RateMath() {}
 
     /** Divides by a number that is not negative; one below 1e-9, also 0, is replaced by 1e-9. */
-    static double divide(double numerator, double denominator) {
+    static double safeDivide(double numerator, double denominator) {
         return numerator / Math.max(MIN_DENOMINATOR, denominator);
     }
 }
--- a/src/main/java/loadbalancer/decision/RequestHandling.java
+++ b/src/main/java/loadbalancer/decision/RequestHandling.java
@@ -7,11 +7,11 @@
     final RetryEligibility retries;
     final RequestTracker requests;
     final AdmissionControl admission;
-    final RoutingRefresh refresh;
+    final RoutingRefresher routingRefresher;
     final RequestScheduler scheduler;
     final HedgingPolicy hedging;
-    final AttemptOutcomes attemptOutcomes;
-    final HealthCheckResults healthCheckResults;
+    final AttemptOutcomeHandler attemptOutcomeHandler;
+    final HealthCheckOutcomeHandler healthCheckOutcomeHandler;
 
     private final Estimators estimators;
     private final EndpointRouting routing;
@@ -33,33 +33,40 @@
         requests = new RequestTracker(settings, estimators.work, queue, retries, actions);
         admission = new AdmissionControl(settings, random, routing.fleetLoad, routing.table);
         EstimateLog log = new EstimateLog(actions, estimators, routing, queue, nowMicros);
-        refresh = new RoutingRefresh(estimators.rates, log, routing.outliers, routing.subset, routing.table);
+        routingRefresher = new RoutingRefresher(estimators.rates, log, routing.outliers, routing.subset, routing.table);
         availability = new EndpointAvailability(
                 settings, routing.outliers, retries, estimators.slowStart, estimators.loads, estimators.speeds);
         PowerOfTwoSelector powerOfTwo = new PowerOfTwoSelector(settings, random, availability, estimators.loads);
-        LoadReports reports = new LoadReports(routing.registry, estimators.loads);
-        EndpointSelector selector = selector(random, reports, powerOfTwo);
+        LoadReportHandler reportHandler = new LoadReportHandler(routing.registry, estimators.loads);
+        EndpointSelector selector = selector(random, reportHandler, powerOfTwo);
         OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, retries, actions);
         AttemptSender sender = sender(budget, overdueTimer, actions);
         scheduler = new RequestScheduler(settings, routing.registry, queue, selector, sender, requests, retries);
         hedging = new HedgingPolicy(
-                routing.table, refresh, routing.healthChecks, powerOfTwo, sender, overdueTimer, actions);
-        attemptOutcomes = attemptOutcomes(reports);
-        healthCheckResults = new HealthCheckResults(
-                routing.registry, routing.healthChecks, routing.outliers, estimators.loads, reports, scheduler);
+                routing.table, routingRefresher, routing.healthChecks, powerOfTwo, sender, overdueTimer, actions);
+        attemptOutcomeHandler = attemptOutcomeHandler(reportHandler);
+        healthCheckOutcomeHandler = new HealthCheckOutcomeHandler(
+                routing.registry, routing.healthChecks, routing.outliers, estimators.loads, reportHandler, scheduler);
     }
 
-    private EndpointSelector selector(SplittableRandom random, LoadReports reports, PowerOfTwoSelector powerOfTwo) {
-        HealthCheckedSelector healthChecked = new HealthCheckedSelector(
+    private EndpointSelector selector(
+            SplittableRandom random, LoadReportHandler reportHandler, PowerOfTwoSelector powerOfTwo) {
+        SampledLoadSelector sampledLoad = new SampledLoadSelector(
                 routing.registry,
                 estimators.rates,
                 routing.table,
-                reports,
+                reportHandler,
                 routing.healthChecks,
                 availability,
                 powerOfTwo);
         return new EndpointSelector(
-                estimators.settings, random, refresh, routing.table, routing.zoneShares, powerOfTwo, healthChecked);
+                estimators.settings,
+                random,
+                routingRefresher,
+                routing.table,
+                routing.zoneShares,
+                powerOfTwo,
+                sampledLoad);
     }
 
     private AttemptSender sender(
@@ -69,16 +76,16 @@
                 retries, forecaster, estimators.attempts, budget, routing.idleConnections, overdueTimer, actions);
     }
 
-    private AttemptOutcomes attemptOutcomes(LoadReports reports) {
+    private AttemptOutcomeHandler attemptOutcomeHandler(LoadReportHandler reportHandler) {
         OutcomeEvaluator evaluator =
                 new OutcomeEvaluator(routing.idleConnections, estimators.speeds, routing.outliers, estimators.loads);
-        return new AttemptOutcomes(
+        return new AttemptOutcomeHandler(
                 routing.registry,
                 requests,
                 estimators.attempts,
                 routing.idleConnections,
                 evaluator,
-                reports,
+                reportHandler,
                 scheduler);
     }
 }
--- a/src/main/java/loadbalancer/decision/RequestQueue.java
+++ b/src/main/java/loadbalancer/decision/RequestQueue.java
@@ -11,14 +11,14 @@
     private static final double START_SLACK_RATIO = 1.5;
 
     private final PolicySettings settings;
-    private final RoutingTable routing;
+    private final RoutingTable routingTable;
     private final LoadBalancerActions actions;
     private final List<PendingRequest> requests = new ArrayList<>();
     private boolean sweepTimerRunning;
 
-    RequestQueue(PolicySettings settings, RoutingTable routing, LoadBalancerActions actions) {
+    RequestQueue(PolicySettings settings, RoutingTable routingTable, LoadBalancerActions actions) {
         this.settings = settings;
-        this.routing = routing;
+        this.routingTable = routingTable;
         this.actions = actions;
     }
 
@@ -27,7 +27,7 @@
         // No time is reserved while the request waits for the load reports of its pair.
         double slackMicros = request.sampling.isInProgress()
                 ? 0
-                : START_SLACK_RATIO * routing.bestSpeedFactor() * request.workMicros();
+                : START_SLACK_RATIO * routingTable.bestSpeedFactor() * request.workMicros();
         long lastForUsefulResponse = (long) (request.usefulUntilMicros() - slackMicros);
         long lastForSweep =
                 request.deadlineMicros() - SWEEP_MICROS - 2 * settings.current().clockTickMicros();
--- a/src/main/java/loadbalancer/decision/RequestScheduler.java
+++ b/src/main/java/loadbalancer/decision/RequestScheduler.java
@@ -50,7 +50,7 @@
         } else if (maySendAnywhere(nowMicros, request)) {
             enqueue(nowMicros, request);
         } else {
-            requests.giveUp(request);
+            requests.rejectOrFail(request);
         }
     }
 
@@ -66,7 +66,7 @@
     /** Queues the request, or gives it up if too little time is left: the next sweep might come after its deadline. */
     private void enqueue(long nowMicros, PendingRequest request) {
         if (nowMicros >= queue.lastStartMicros(request)) {
-            requests.giveUp(request);
+            requests.rejectOrFail(request);
         } else {
             queue.add(request);
         }
@@ -77,7 +77,7 @@
         boolean room = true;
         for (int i = 0; i < queue.size() && room; i++) {
             PendingRequest request = queue.get(i);
-            if (sendOrGiveUp(nowMicros, i, selector.select(nowMicros, request))) {
+            if (sendOrEndIfLate(nowMicros, i, selector.select(nowMicros, request))) {
                 i--;
             } else {
                 room = isRestricted(request);
@@ -93,7 +93,7 @@
             PendingRequest request = queue.get(i);
             boolean maySend = room || request.hasAttempts();
             TrackedEndpoint endpoint = maySend ? selector.select(nowMicros, request) : null;
-            if (sendOrGiveUp(nowMicros, i, endpoint)) {
+            if (sendOrEndIfLate(nowMicros, i, endpoint)) {
                 i--;
             } else {
                 room &= isRestricted(request);
@@ -114,7 +114,7 @@
      *
      * @return whether the request has left the queue
      */
-    private boolean sendOrGiveUp(long nowMicros, int index, TrackedEndpoint endpoint) {
+    private boolean sendOrEndIfLate(long nowMicros, int index, TrackedEndpoint endpoint) {
         PendingRequest request = queue.get(index);
         if (endpoint == null && nowMicros < queue.lastStartMicros(request)) {
             return false;
@@ -123,7 +123,7 @@
         if (endpoint != null) {
             sender.send(nowMicros, request, endpoint);
         } else {
-            requests.giveUp(request);
+            requests.rejectOrFail(request);
         }
         return true;
     }
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -65,7 +65,7 @@
     }
 
     /** Ends a request that can't be served in time: rejects it where no endpoint can have run it, else fails it. */
-    void giveUp(PendingRequest request) {
+    void rejectOrFail(PendingRequest request) {
         if (!retries.mayReject(request)) {
             fail(request);
             return;
--- a/src/main/java/loadbalancer/decision/RetryEligibility.java
+++ b/src/main/java/loadbalancer/decision/RetryEligibility.java
@@ -56,8 +56,8 @@
                 || arrivalMicros - earlier.sentMicros() >= requestClass.deduplicationWindowMicros()) {
             return false;
         }
-        Endpoint before = earlier.listing();
-        Endpoint after = endpoint.listing();
+        Endpoint before = earlier.listEntry();
+        Endpoint after = endpoint.listEntry();
         return switch (requestClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> after.zone().equals(before.zone());
--- a/src/main/java/loadbalancer/decision/RoutingRefresh.java
+++ b/src/main/java/loadbalancer/decision/RoutingRefresher.java
@@ -4,7 +4,7 @@
  * Updates the request rates, panic mode, the subset and the routing table when they are out of date, and writes the
  * regular log line of the estimates. Called before each decision.
  */
-final class RoutingRefresh {
+final class RoutingRefresher {
     /** Speeds and rates change within seconds; this is short against that. */
     private static final long INTERVAL_MICROS = 100_000;
 
@@ -12,29 +12,29 @@
     private final EstimateLog log;
     private final OutlierDetector outliers;
     private final EndpointSubset subset;
-    private final RoutingTable routing;
+    private final RoutingTable routingTable;
     private long refreshedMicros;
 
-    RoutingRefresh(
+    RoutingRefresher(
             RequestRateEstimator rates,
             EstimateLog log,
             OutlierDetector outliers,
             EndpointSubset subset,
-            RoutingTable routing) {
+            RoutingTable routingTable) {
         this.rates = rates;
         this.log = log;
         this.outliers = outliers;
         this.subset = subset;
-        this.routing = routing;
+        this.routingTable = routingTable;
     }
 
-    /** Makes the next {@link #refresh} update, however recent the last update is. */
+    /** Makes the next {@link #refreshIfDue} update, however recent the last update is. */
     void invalidate(long nowMicros) {
         refreshedMicros = nowMicros - INTERVAL_MICROS;
     }
 
     /** Updates everything if the last update is older than the interval. */
-    void refresh(long nowMicros) {
+    void refreshIfDue(long nowMicros) {
         if (nowMicros - refreshedMicros < INTERVAL_MICROS) {
             return;
         }
@@ -43,6 +43,6 @@
         log.writeIfDue(nowMicros);
         outliers.updatePanicMode(nowMicros);
         subset.update(nowMicros);
-        routing.solve(nowMicros);
+        routingTable.solve(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/decision/RoutingTable.java
+++ b/src/main/java/loadbalancer/decision/RoutingTable.java
@@ -54,7 +54,7 @@
     /** Replaces the table by a new solution; sets the routing weight of each endpoint. */
     void solve(long nowMicros) {
         clear();
-        relaxEstimates(nowMicros);
+        decayStaleEstimates(nowMicros);
         List<List<TrackedEndpoint>> groups = new ArrayList<>(groups(nowMicros).values());
         double[] sizes = new double[groups.size()];
         double[] serviceRates = new double[groups.size()];
@@ -88,12 +88,12 @@
     }
 
     /** Lets speed estimates without recent responses return, so that endpoints that seem slow are tried again. */
-    private void relaxEstimates(long nowMicros) {
+    private void decayStaleEstimates(long nowMicros) {
         for (MachineTypeEstimate machineType : registry.machineTypes()) {
-            machineType.relax(nowMicros);
+            machineType.decayIfStale(nowMicros);
         }
         for (TrackedEndpoint endpoint : subset.members()) {
-            speeds.relax(endpoint, nowMicros);
+            speeds.decayIfStale(endpoint, nowMicros);
         }
     }
 
@@ -140,7 +140,7 @@
         bestSpeedFactor = Math.min(bestSpeedFactor, endpoint.speedFactor() / capacityRatio);
         all.add(endpoint);
         weightSum += OutlierDetector.isEjected(endpoint, nowMicros) ? 0 : endpoint.routingWeight();
-        if (settings.crossZoneIsPriced()) {
+        if (settings.prefersLocalZone()) {
             (endpoint.zone() == settings.localZone() ? inLocalZone : inOtherZones).add(endpoint);
         }
         if (hasShare && capacityRatio < 1) {
--- a/src/main/java/loadbalancer/decision/HealthCheckedSelector.java
+++ b/src/main/java/loadbalancer/decision/SampledLoadSelector.java
@@ -6,7 +6,7 @@
  * chosen if it has a free core; if several pairs had none, it is chosen if it has any room. An endpoint that does not
  * reply in time is not chosen.
  */
-final class HealthCheckedSelector {
+final class SampledLoadSelector {
     /** From this many pairs on, an endpoint with room is chosen even if it has no free core. */
     private static final int MAX_PAIRS = 3;
     /** Longest wait for the replies of a pair: until the next sweep of the queue. */
@@ -20,8 +20,8 @@
 
     private final EndpointRegistry registry;
     private final RequestRateEstimator rates;
-    private final RoutingTable routing;
-    private final LoadReports reports;
+    private final RoutingTable routingTable;
+    private final LoadReportHandler reportHandler;
     private final HealthChecks healthChecks;
     private final EndpointAvailability availability;
     private final PowerOfTwoSelector powerOfTwo;
@@ -44,18 +44,18 @@
         }
     }
 
-    HealthCheckedSelector(
+    SampledLoadSelector(
             EndpointRegistry registry,
             RequestRateEstimator rates,
-            RoutingTable routing,
-            LoadReports reports,
+            RoutingTable routingTable,
+            LoadReportHandler reportHandler,
             HealthChecks healthChecks,
             EndpointAvailability availability,
             PowerOfTwoSelector powerOfTwo) {
         this.registry = registry;
         this.rates = rates;
-        this.routing = routing;
-        this.reports = reports;
+        this.routingTable = routingTable;
+        this.reportHandler = reportHandler;
         this.healthChecks = healthChecks;
         this.availability = availability;
         this.powerOfTwo = powerOfTwo;
@@ -68,8 +68,8 @@
 
     /** An endpoint in slow start that has a free core and may be sent the request now, or null. It joins the pair. */
     private TrackedEndpoint slowStartTurn(long nowMicros, PendingRequest request) {
-        for (int i = 0; i < routing.inSlowStart().size(); i++) {
-            TrackedEndpoint endpoint = routing.inSlowStart().get(i);
+        for (int i = 0; i < routingTable.inSlowStart().size(); i++) {
+            TrackedEndpoint endpoint = routingTable.inSlowStart().get(i);
             if (hasFreeCore(nowMicros, request, endpoint)) {
                 return endpoint;
             }
@@ -79,7 +79,7 @@
 
     private TrackedEndpoint select(long nowMicros, PendingRequest request, TrackedEndpoint turn) {
         Sampling sampling = request.sampling;
-        TrackedEndpoint fresh = reports.freshEndpoint();
+        TrackedEndpoint fresh = reportHandler.freshEndpoint();
         if (fresh != null && sampling.pairs > 0 && hasFreeCore(nowMicros, request, fresh)) {
             sampling.first = null;
             return fresh;
@@ -92,7 +92,7 @@
         sampling.first = null;
         TrackedEndpoint best = lessLoaded(
                 nowMicros, request, knownOrNull(nowMicros, request, first), knownOrNull(nowMicros, request, second));
-        if (best == null && reports.lastReportMicros() < sampling.askedMicros) {
+        if (best == null && reportHandler.lastReportMicros() < sampling.askedMicros) {
             // No endpoint has reported since: this sidecar itself is late. Compare by local attempts.
             return lessLoaded(nowMicros, request, first, second);
         }
@@ -138,7 +138,7 @@
     }
 
     private TrackedEndpoint drawWithRoom(long nowMicros, PendingRequest request, TrackedEndpoint excluded) {
-        return powerOfTwo.draw(nowMicros, request, routing.all(), RoomNeeded.BELOW_LIMIT, excluded);
+        return powerOfTwo.draw(nowMicros, request, routingTable.all(), RoomNeeded.BELOW_LIMIT, excluded);
     }
 
     private TrackedEndpoint knownOrNull(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
@@ -167,7 +167,7 @@
     }
 
     private boolean hasFreeCore(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
-        return availability.hasRoom(nowMicros, request, endpoint, RoomNeeded.FREE_CORE);
+        return availability.canTake(nowMicros, request, endpoint, RoomNeeded.FREE_CORE);
     }
 
     /** The less loaded one with room of two endpoints, each of which may be null. */
@@ -182,8 +182,8 @@
     }
 
     private TrackedEndpoint withRoomOrNull(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
-        boolean hasRoom =
-                endpoint != null && availability.hasRoom(nowMicros, request, endpoint, RoomNeeded.BELOW_LIMIT);
-        return hasRoom ? endpoint : null;
+        boolean canTake =
+                endpoint != null && availability.canTake(nowMicros, request, endpoint, RoomNeeded.BELOW_LIMIT);
+        return canTake ? endpoint : null;
     }
 }
--- a/src/main/java/loadbalancer/decision/SlowStart.java
+++ b/src/main/java/loadbalancer/decision/SlowStart.java
@@ -12,7 +12,7 @@
 
     /** Rises linearly from the rules' initial ratio to 1 over the time of the slow start; 1 outside it. */
     double capacityRatio(TrackedEndpoint endpoint, long nowMicros) {
-        long startedMicros = endpoint.listing().startedMicros();
+        long startedMicros = endpoint.listEntry().startedMicros();
         EndpointRules rules = settings.rules();
         long ageMicros = nowMicros - startedMicros;
         if (startedMicros <= 0 || ageMicros >= rules.slowStartMicros()) {
--- a/src/main/java/loadbalancer/decision/SlowStartBudget.java
+++ b/src/main/java/loadbalancer/decision/SlowStartBudget.java
@@ -27,7 +27,7 @@
     private final SlowStart slowStart;
     private final WorkEstimator work;
     private final RequestRateEstimator rates;
-    private final RoutingTable routing;
+    private final RoutingTable routingTable;
 
     /** The work that this sidecar sent to an endpoint in the latest slot. */
     static final class SentWork {
@@ -40,12 +40,12 @@
             SlowStart slowStart,
             WorkEstimator work,
             RequestRateEstimator rates,
-            RoutingTable routing) {
+            RoutingTable routingTable) {
         this.settings = settings;
         this.slowStart = slowStart;
         this.work = work;
         this.rates = rates;
-        this.routing = routing;
+        this.routingTable = routingTable;
     }
 
     /** Whether the endpoint may be sent a request of this work now; always true outside slow start. */
@@ -54,10 +54,10 @@
             return true;
         }
         long slot = slot(endpoint, nowMicros);
-        long slotStartMicros = endpoint.listing().startedMicros() + slot * slotMicros();
+        long slotStartMicros = endpoint.listEntry().startedMicros() + slot * slotMicros();
         long fleetRequests = fleetRequests(endpoint, slotStartMicros);
         long turn = Math.floorMod(
-                settings.sidecarIndex() - SharedHash.mix(endpoint.id().hashCode(), (int) slot),
+                settings.sidecarIndex() - StableHash.mix(endpoint.id().hashCode(), (int) slot),
                 settings.sidecarCount());
         long localRequests = localRequests(endpoint, fleetRequests, turn);
         long turnMicros = slotStartMicros + turn * turnSpacingMicros(fleetRequests);
@@ -81,7 +81,7 @@
     }
 
     private long slot(TrackedEndpoint endpoint, long nowMicros) {
-        return Math.max(0, nowMicros - endpoint.listing().startedMicros()) / slotMicros();
+        return Math.max(0, nowMicros - endpoint.listEntry().startedMicros()) / slotMicros();
     }
 
     private long slotMicros() {
@@ -119,7 +119,7 @@
 
     /** Most requests that this sidecar sends in its turn: its part, by rate, of the slot's requests, and one more. */
     private long maxRequestsPerTurn(long fleetRequests) {
-        return 1 + (long) RateMath.divide(fleetRequests * rates.localPerSecond(), rates.fleetPerSecond());
+        return 1 + (long) RateMath.safeDivide(fleetRequests * rates.localPerSecond(), rates.fleetPerSecond());
     }
 
     /**
@@ -131,9 +131,9 @@
     private double turns(TrackedEndpoint endpoint, long fleetRequests) {
         double fleetRate = rates.fleetPerSecond();
         double drawsInSlot = 2 * fleetRate * settings.rules().overloadWindowMicros() / WINDOW_MICROS_PER_SLOT_SECOND;
-        double drawn = RateMath.divide(drawsInSlot * endpoint.routingWeight(), routing.weightSum());
-        double drawnLocally = RateMath.divide(drawn * rates.localPerSecond(), fleetRate);
-        double sent = drawn * Math.min(1, RateMath.divide(maxRequestsPerTurn(fleetRequests), drawnLocally));
-        return RateMath.divide(settings.sidecarCount() * fleetRequests, sent);
+        double drawn = RateMath.safeDivide(drawsInSlot * endpoint.routingWeight(), routingTable.weightSum());
+        double drawnLocally = RateMath.safeDivide(drawn * rates.localPerSecond(), fleetRate);
+        double sent = drawn * Math.min(1, RateMath.safeDivide(maxRequestsPerTurn(fleetRequests), drawnLocally));
+        return RateMath.safeDivide(settings.sidecarCount() * fleetRequests, sent);
     }
 }
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -27,7 +27,7 @@
     static final class Deviation {
         private double ratio = 1;
         /** When it was last learned from an attempt. */
-        private long answeredMicros;
+        private long lastObservationMicros;
 
         double ratio() {
             return ratio;
@@ -47,7 +47,7 @@
     /**
      * Expected response time of work on an endpoint that holds {@code load} other requests, first come first served.
      */
-    double expectedMicros(TrackedEndpoint endpoint, double workMicros, double load, long nowMicros) {
+    double expectedResponseMicros(TrackedEndpoint endpoint, double workMicros, double load, long nowMicros) {
         return endpoint.speedFactor()
                 * (workMicros + queuedWorkMicros(endpoint, load))
                 / slowStart.capacityRatio(endpoint, nowMicros);
@@ -66,9 +66,9 @@
     }
 
     /** Lets the deviation of an endpoint without recent responses return towards 1. */
-    void relax(TrackedEndpoint endpoint, long nowMicros) {
+    void decayIfStale(TrackedEndpoint endpoint, long nowMicros) {
         Deviation deviation = endpoint.deviation;
-        if (nowMicros - deviation.answeredMicros > STALE_MICROS) {
+        if (nowMicros - deviation.lastObservationMicros > STALE_MICROS) {
             deviation.ratio += RETURN_GAIN * (1 - deviation.ratio);
         }
     }
@@ -109,7 +109,7 @@
 
     /** The speed factor at which the attempt would have been expected to take as long as it did. */
     private static double observedFactor(Attempt attempt, long latencyMicros) {
-        return latencyMicros / Math.max(1, attempt.forecast().unitSpeedMicros());
+        return latencyMicros / Math.max(1, attempt.forecast().unitSpeedResponseMicros());
     }
 
     /** How much slower than estimated, relative to the estimate; negative if faster; bounded above. */
@@ -131,7 +131,7 @@
     }
 
     private static void recordObservation(TrackedEndpoint endpoint, long nowMicros) {
-        endpoint.deviation.answeredMicros = nowMicros;
+        endpoint.deviation.lastObservationMicros = nowMicros;
         endpoint.machineType().recordObservation(nowMicros);
     }
 }
--- a/src/main/java/loadbalancer/decision/SharedHash.java
+++ b/src/main/java/loadbalancer/decision/StableHash.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
 /** A hash that is the same on all sidecars, so that they agree on an order without messages. */
-final class SharedHash {
-    private SharedHash() {}
+final class StableHash {
+    private StableHash() {}
 
     /** Spreads neighbouring values and salts over all ints. */
     static int mix(int value, int salt) {
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -8,38 +8,38 @@
     private final String id;
     private final MachineTypeEstimate machineType;
     private final int sharedOrder;
-    private Endpoint listing;
+    private Endpoint listEntry;
     private boolean ready;
     private boolean removed;
     private int zone;
     private double routingWeight;
 
-    final InFlightAttempts.OfEndpoint attempts = new InFlightAttempts.OfEndpoint();
+    final InFlightAttempts.PerEndpoint attempts = new InFlightAttempts.PerEndpoint();
     final SpeedEstimator.Deviation deviation = new SpeedEstimator.Deviation();
     final LoadEstimator.ReportedLoad reportedLoad = new LoadEstimator.ReportedLoad();
     final OutlierDetector.Health health = new OutlierDetector.Health();
     final HealthChecks.Progress healthChecks = new HealthChecks.Progress();
-    final IdleConnectionGuard.ConnectionUse connections = new IdleConnectionGuard.ConnectionUse();
+    final IdleConnectionPolicy.ConnectionUse connections = new IdleConnectionPolicy.ConnectionUse();
     final SlowStartBudget.SentWork slowStartWork = new SlowStartBudget.SentWork();
 
-    TrackedEndpoint(Endpoint listing, MachineTypeEstimate machineType) {
-        id = listing.id();
-        this.listing = listing;
+    TrackedEndpoint(Endpoint listEntry, MachineTypeEstimate machineType) {
+        id = listEntry.id();
+        this.listEntry = listEntry;
         this.machineType = machineType;
-        sharedOrder = SharedHash.mix(id.hashCode(), 0);
+        sharedOrder = StableHash.mix(id.hashCode(), 0);
     }
 
     /** Replaces the list entry. If the process has restarted, the estimates of the old one are reset. */
-    void update(Endpoint newListing, int zoneIndex) {
-        if (newListing.startedMicros() != listing.startedMicros()) {
+    void update(Endpoint newListEntry, int zoneIndex) {
+        if (newListEntry.startedMicros() != listEntry.startedMicros()) {
             deviation.reset();
             health.reset();
             connections.reset();
         }
-        listing = newListing;
+        listEntry = newListEntry;
         zone = zoneIndex;
-        ready = newListing.state() == EndpointState.READY;
-        removed = newListing.state() == EndpointState.REMOVED;
+        ready = newListEntry.state() == EndpointState.READY;
+        removed = newListEntry.state() == EndpointState.REMOVED;
     }
 
     void markRemoved() {
@@ -66,8 +66,8 @@
     }
 
     /** The endpoint's entry in the endpoint list. */
-    Endpoint listing() {
-        return listing;
+    Endpoint listEntry() {
+        return listEntry;
     }
 
     /** Sort key, computed from the id, of an order that all sidecars share. */
@@ -92,7 +92,7 @@
     /**
      * Whether it is removed and has no attempt in flight. Its replacement has another id, so keeping it is of no use.
      */
-    boolean isForgettable() {
+    boolean isDiscardable() {
         return removed && attempts.isEmpty();
     }
 
--- a/src/main/java/loadbalancer/decision/ZoneShares.java
+++ b/src/main/java/loadbalancer/decision/ZoneShares.java
@@ -22,7 +22,7 @@
         for (TrackedEndpoint endpoint : registry.ready()) {
             shares[endpoint.zone()] += 1.0 / registry.ready().size();
         }
-        if (settings.crossZoneIsPriced() && settings.localLoadIsSmallPart()) {
+        if (settings.prefersLocalZone() && settings.localLoadIsUnrepresentative()) {
             preferLocalZone();
         }
     }
@@ -33,7 +33,7 @@
         double meanRate = gossip.livePeers() > 0 ? gossip.meanRate() : 0;
         double localShare = meanRate <= 0
                 ? 1
-                : Math.min(1, RateMath.divide(shares[localZone] * meanRate, gossip.zoneRate(localZone)));
+                : Math.min(1, RateMath.safeDivide(shares[localZone] * meanRate, gossip.zoneRate(localZone)));
         double spareSum = 0;
         for (int zone = 0; zone < shares.length; zone++) {
             boolean takesNone = zone == localZone || meanRate <= 0;
@@ -41,7 +41,7 @@
             spareSum += shares[zone];
         }
         for (int zone = 0; zone < shares.length; zone++) {
-            shares[zone] *= RateMath.divide(1 - localShare, spareSum);
+            shares[zone] *= RateMath.safeDivide(1 - localShare, spareSum);
         }
         shares[localZone] = localShare;
     }
--- a/src/test/java/loadbalancer/decision/IdleConnectionGuardTest.java
+++ b/src/test/java/loadbalancer/decision/IdleConnectionPolicyTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Idle connections are closed when their endpoint leaves, or before a use that would likely fail. */
-class IdleConnectionGuardTest {
+class IdleConnectionPolicyTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
--- a/src/test/java/loadbalancer/decision/HealthCheckedSelectorTest.java
+++ b/src/test/java/loadbalancer/decision/SampledLoadSelectorTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The drawn endpoints are asked for load reports before one is selected. */
-class HealthCheckedSelectorTest {
+class SampledLoadSelectorTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
