--- a/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
@@ -34,7 +34,7 @@
             reportHandler.clearFresh();
             return;
         }
-        Attempt attempt = request.attemptInFlight(result.attempt());
+        Attempt attempt = request.attemptInFlight(result.attemptNumber());
         if (attempt == null) {
             return;
         }
--- a/src/main/java/loadbalancer/decision/AttemptResult.java
+++ b/src/main/java/loadbalancer/decision/AttemptResult.java
@@ -4,7 +4,7 @@
  * How one attempt ended.
  *
  * @param requestId the request that the attempt belongs to
- * @param attempt number of the attempt within its request, from 0
+ * @param attemptNumber number of the attempt within its request, from 0
  * @param endpointId the endpoint that it was sent to
  * @param latencyMicros time from the send to the outcome
  * @param requestDone whether the request is over, by this outcome or already before it
@@ -12,7 +12,7 @@
  */
 public record AttemptResult(
         String requestId,
-        int attempt,
+        int attemptNumber,
         String endpointId,
         AttemptOutcome outcome,
         long latencyMicros,
--- a/src/main/java/loadbalancer/decision/Endpoint.java
+++ b/src/main/java/loadbalancer/decision/Endpoint.java
@@ -6,10 +6,13 @@
  * @param id stable name of the endpoint; a restarted endpoint keeps it
  * @param zone availability zone, one of the zones in the settings
  * @param machineType endpoints of one machine type have about the same speed and number of cores
- * @param cell number of the endpoint's cell, the smallest deduplication scope; -1 if unknown
+ * @param cell number of the endpoint's cell, the smallest deduplication scope; {@link #NO_CELL} if unknown
  * @param startedMicros time of the latest start on the module's clock; 0 if that was long ago
  * @param weight figure from the list for comparison with other endpoints, without a unit; no rule uses it
  * @param state whether the endpoint takes requests
  */
 public record Endpoint(
-        String id, String zone, String machineType, int cell, long startedMicros, double weight, EndpointState state) {}
+        String id, String zone, String machineType, int cell, long startedMicros, double weight, EndpointState state) {
+    /** The cell of an endpoint whose cell is unknown. */
+    public static final int NO_CELL = -1;
+}
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -16,8 +16,6 @@
     private static final int PRICED_BYTES = 256;
     /** Most messages to single sidecars in one interval. */
     private static final int MAX_DATAGRAMS = 16;
-    /** Receiver index of a message to all other sidecars. */
-    private static final int ALL_SIDECARS = -1;
 
     private final PolicySettings settings;
     private final SplittableRandom random;
@@ -62,7 +60,7 @@
         int peers = settings.sidecarCount() - 1;
         double affordable = affordableMessages(bytes.length);
         if (affordable >= peers) {
-            actions.sendGossip(ALL_SIDECARS, bytes);
+            actions.sendGossip(LoadBalancerActions.ALL_SIDECARS, bytes);
         } else {
             sendToSome(Math.max(1, Math.min(MAX_DATAGRAMS, (int) affordable)), bytes);
         }
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -32,7 +32,7 @@
     void onAttemptOutcome(long nowMicros, AttemptResult result);
 
     /** The first part of a streamed response was forwarded to the client: no further attempt may be sent. */
-    void onStreamStart(long nowMicros, String requestId, int attempt, String endpointId, long latencyMicros);
+    void onStreamStart(long nowMicros, String requestId, int attemptNumber, String endpointId, long latencyMicros);
 
     /** Reports the outcome of a health check; {@code loadReport} is null where the endpoint reported no load. */
     void onHealthCheck(
--- a/src/main/java/loadbalancer/decision/LoadBalancerActions.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancerActions.java
@@ -5,6 +5,9 @@
  * returns no result and must not call the module back. Later results are reported as events.
  */
 public interface LoadBalancerActions {
+    /** Receiver index of a gossip message to all other sidecars. */
+    int ALL_SIDECARS = -1;
+
     /** Forwards the request to the endpoint; the attempt times out at {@code deadlineMicros}. */
     void sendAttempt(String requestId, String endpointId, long deadlineMicros);
 
@@ -19,7 +22,7 @@
     void fail(String requestId);
 
     /** Cancels an attempt in flight; no rule orders it yet. */
-    void cancelAttempt(String requestId, int attempt);
+    void cancelAttempt(String requestId, int attemptNumber);
 
     /** Asks the endpoint for a load report. */
     void checkHealth(String endpointId);
@@ -27,7 +30,10 @@
     /** Asks discovery for the endpoint list, where lists are polled. */
     void pollEndpoints();
 
-    /** Sends gossip to one sidecar, or to all where {@code sidecarIndex} is -1. Delivery is not guaranteed. */
+    /**
+     * Sends gossip to one sidecar, or to all where {@code sidecarIndex} is {@link #ALL_SIDECARS}. Delivery is not
+     * guaranteed.
+     */
     void sendGossip(int sidecarIndex, byte[] message);
 
     /** Closes this sidecar's idle connections to the endpoint. */
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -108,7 +108,8 @@
     }
 
     @Override
-    public void onStreamStart(long nowMicros, String requestId, int attempt, String endpointId, long latencyMicros) {
+    public void onStreamStart(
+            long nowMicros, String requestId, int attemptNumber, String endpointId, long latencyMicros) {
         requests.markStreaming(requestId);
     }
 
--- a/src/main/java/loadbalancer/decision/LoadReport.java
+++ b/src/main/java/loadbalancer/decision/LoadReport.java
@@ -7,4 +7,7 @@
  * @param queued requests among them that wait for a core
  * @param utilization part of its processor time in use, 0 to 1; no rule uses it
  */
-public record LoadReport(double inFlight, double queued, double utilization) {}
+public record LoadReport(double inFlight, double queued, double utilization) {
+    /** A value that the endpoint does not report. */
+    public static final double NOT_REPORTED = -1;
+}
--- a/src/main/java/loadbalancer/decision/PendingRequest.java
+++ b/src/main/java/loadbalancer/decision/PendingRequest.java
@@ -6,7 +6,7 @@
 
 /** A request from its acceptance until it has its final response and no attempt is in flight. */
 final class PendingRequest {
-    private final Request request;
+    private final Request clientRequest;
     private final RequestClass requestClass;
     private final double workMicros;
     private final long deadlineMicros;
@@ -26,7 +26,7 @@
      */
     PendingRequest(
             long nowMicros, Request request, RequestClass requestClass, double workMicros, double relativePriority) {
-        this.request = request;
+        clientRequest = request;
         this.requestClass = requestClass;
         this.workMicros = workMicros;
         deadlineMicros = nowMicros + request.remainingMicros();
@@ -39,11 +39,11 @@
     }
 
     String id() {
-        return request.id();
+        return clientRequest.id();
     }
 
-    Request request() {
-        return request;
+    Request clientRequest() {
+        return clientRequest;
     }
 
     RequestClass requestClass() {
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -32,9 +32,9 @@
      * @throws IllegalArgumentException if the settings have no such request class
      */
     PendingRequest accept(long nowMicros, Request request) {
-        RequestClass requestClass = settings.requestClass(request.requestClass());
+        RequestClass requestClass = settings.requestClass(request.requestClassName());
         if (requestClass == null) {
-            throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
+            throw new IllegalArgumentException("no class '" + request.requestClassName() + "'");
         }
         double workMicros = work.workMicros(request);
         work.countArrival(workMicros);
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -88,7 +88,7 @@
             endpoint.machineType().learnSpeed(observedFactor, gain, SPEED_GAIN);
         }
         endpoint.deviation.ratio *= 1 + gain * excess(endpoint, observedFactor);
-        if (attempt.request().request().costHintMicros() <= 0) {
+        if (attempt.request().clientRequest().costHintMicros() <= 0) {
             work.adjustClass(attempt.request().requestClass().name(), SLOW_GAIN * excess(endpoint, observedFactor));
         }
     }
--- a/src/main/java/loadbalancer/decision/WorkEstimator.java
+++ b/src/main/java/loadbalancer/decision/WorkEstimator.java
@@ -35,7 +35,9 @@
     }
 
     double workMicros(Request request) {
-        return request.costHintMicros() > 0 ? request.costHintMicros() : classWorkMicros.get(request.requestClass());
+        return request.costHintMicros() > 0
+                ? request.costHintMicros()
+                : classWorkMicros.get(request.requestClassName());
     }
 
     /** Updates the mean with the work of an arriving request. */
--- a/src/main/java/loadbalancer/input/LoadReportFields.java
+++ b/src/main/java/loadbalancer/input/LoadReportFields.java
@@ -7,11 +7,9 @@
  * HTTP header use different names for the same value; both are mapped here. Not thread-safe.
  */
 public final class LoadReportFields {
-    private static final double NOT_REPORTED = -1;
-
-    private double inFlight = NOT_REPORTED;
-    private double queued = NOT_REPORTED;
-    private double utilization = NOT_REPORTED;
+    private double inFlight = LoadReport.NOT_REPORTED;
+    private double queued = LoadReport.NOT_REPORTED;
+    private double utilization = LoadReport.NOT_REPORTED;
 
     /**
      * Takes one value. A later value of the same meaning replaces an earlier one; unknown names are skipped.
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy.client;
 
 import java.util.concurrent.TimeUnit;
-import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.FaultIsolation;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.SidecarLog;
 
@@ -81,7 +81,7 @@
 
     /** Schedules the next check even if one fails; otherwise the process would never end. */
     private void checkRepeatedly(Runnable onCompleted) {
-        FaultBarrier.run("shutdown_check", this::check);
+        FaultIsolation.run("shutdown_check", this::check);
         if (phase == Phase.COMPLETED) {
             SidecarLog.info("shutdown_completed client_connections=0");
             onCompleted.run();
--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -7,7 +7,7 @@
  * The valid content of a request's headers.
  *
  * @param tenant null if the request names none
- * @param routingKey a number of 53 bits, or {@link #NO_ROUTING_KEY}
+ * @param routingKey a number of 53 bits, or {@link Request#NO_ROUTING_KEY}
  * @param retry whether the client says that it has sent this request before
  * @param costHintMicros the work of the request in microseconds of a standard core; 0 if there is no hint
  * @param remainingMicros how long the client waits for the response, at most the deadline of the class
@@ -21,8 +21,6 @@
         long costHintMicros,
         long remainingMicros,
         RequestPayload payload) {
-    static final long NO_ROUTING_KEY = -1;
-
     /**
      * Creates what the load balancer gets. {@code untilDeadlineMicros} is the time left to respond; values below 1 are
      * passed on as 1.
--- a/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy.client;
 
 import java.util.ArrayDeque;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
  * Requests of one connection that are received but not yet handled, in the order of their receipt. Owns their messages
@@ -12,7 +12,7 @@
      * How much a client may pipeline; well-behaved clients do not pipeline at all. A client beyond this limit gets an
      * error. Its socket is not simply left unread, because then its disconnect would not be noticed.
      */
-    private static final int MAX_BYTES = 4 * HeaderNames.MAX_REQUEST_BODY_BYTES;
+    private static final int MAX_BYTES = 4 * ProtocolConstants.MAX_REQUEST_BODY_BYTES;
 
     private final ArrayDeque<ReceivedRequest> requests = new ArrayDeque<>();
     private int sizeBytes;
--- a/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -12,10 +12,10 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import java.util.List;
 import java.util.function.BooleanSupplier;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * Aggregates requests up to {@link HeaderNames#MAX_REQUEST_BODY_BYTES}. It writes no response except {@code 100
+ * Aggregates requests up to {@link ProtocolConstants#MAX_REQUEST_BODY_BYTES}. It writes no response except {@code 100
  * Continue} to a client that expects it, and only while no other response is pending, as it would overtake that. A
  * request that it cannot aggregate becomes an exception on the pipeline: {@link TooLongFrameException} or
  * {@link CorruptedFrameException}.
@@ -24,7 +24,7 @@
     private final BooleanSupplier responsePending;
 
     RequestAggregator(BooleanSupplier responsePending) {
-        super(HeaderNames.MAX_REQUEST_BODY_BYTES);
+        super(ProtocolConstants.MAX_REQUEST_BODY_BYTES);
         this.responsePending = responsePending;
     }
 
@@ -54,6 +54,6 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-        throw new TooLongFrameException("a body of more than " + HeaderNames.MAX_REQUEST_BODY_BYTES + " bytes");
+        throw new TooLongFrameException("a body of more than " + ProtocolConstants.MAX_REQUEST_BODY_BYTES + " bytes");
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -12,7 +12,7 @@
 import loadbalancer.decision.AttemptOutcome;
 import loadbalancer.decision.AttemptResult;
 import loadbalancer.decision.LoadReport;
-import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.FaultIsolation;
 import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 import loadbalancer.proxy.observability.SidecarLog;
@@ -101,7 +101,7 @@
     void dispatch(RequestExchange exchange) {
         failOverdueRequests();
         exchange.dispatchedAt(clock.nowMicros());
-        statistics.requestAccepted(exchange.request().requestClass());
+        statistics.requestAccepted(exchange.request().requestClassName());
         if (exchange.dispatchedMicros() >= exchange.deadlineMicros()) {
             exchange.complete();
             statistics.requestFailed();
@@ -156,7 +156,7 @@
 
     private void checkDeadlines() {
         deadlineCheck = null;
-        FaultBarrier.run("overdue_responses", this::failOverdueRequests);
+        FaultIsolation.run("overdue_responses", this::failOverdueRequests);
         if (!pendingResponses.isEmpty()) {
             scheduleDeadlineCheck();
         }
@@ -231,7 +231,7 @@
         attempt.recordEnd(clock.nowMicros());
         statistics.attemptCompleted(outcome);
         if (outcome == AttemptOutcome.OK && !exchange.isCompleted()) {
-            statistics.requestServed(exchange.request().requestClass());
+            statistics.requestServed(exchange.request().requestClassName());
             complete(exchange);
             exchange.responseHandler().onServed(body.retain());
         }
@@ -248,7 +248,7 @@
                         new AttemptResult(
                                 exchange.requestId(),
                                 number,
-                                attempt.endpoint(),
+                                attempt.endpointId(),
                                 attempt.outcome(),
                                 nowMicros - attempt.startedMicros(),
                                 exchange.isCompleted(),
@@ -274,7 +274,7 @@
     public void reject(String requestId, long retryAfterMicros) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange != null && !exchange.isCompleted()) {
-            statistics.requestRejected(exchange.request().requestClass());
+            statistics.requestRejected(exchange.request().requestClassName());
             complete(exchange);
             exchange.responseHandler().onRejected(retryAfterMicros);
         }
--- a/src/main/java/loadbalancer/proxy/client/RequestExchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -72,7 +72,7 @@
     }
 
     boolean hasAttemptInFlight() {
-        return !attempts.stream().allMatch(UpstreamCall::ended);
+        return !attempts.stream().allMatch(UpstreamCall::hasEnded);
     }
 
     /** Whether the request is completed and all of its attempts have ended. */
@@ -96,9 +96,9 @@
         for (int number = 0; number < attempts.size(); number++) {
             UpstreamCall attempt = attempts.get(number);
             line.append(" attempt=").append(number);
-            line.append(" endpoint=").append(attempt.endpoint());
+            line.append(" endpoint=").append(attempt.endpointId());
             line.append(" started_millis=").append(millisSinceDispatch(attempt.startedMicros()));
-            if (attempt.ended()) {
+            if (attempt.hasEnded()) {
                 line.append(" outcome=").append(attempt.outcome());
                 line.append(" ended_millis=").append(millisSinceDispatch(attempt.endedMicros()));
             }
--- a/src/main/java/loadbalancer/proxy/client/RequestParser.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestParser.java
@@ -8,8 +8,9 @@
 import io.netty.handler.codec.http.cookie.Cookie;
 import io.netty.handler.codec.http.cookie.ServerCookieDecoder;
 import java.util.List;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.decision.Request;
 import loadbalancer.proxy.protocol.HeaderValues;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 import loadbalancer.settings.Idempotency;
 import loadbalancer.settings.RequestClass;
 
@@ -41,10 +42,10 @@
         return new ParsedRequest(
                 id,
                 requestClass,
-                headers.get(HeaderNames.TENANT),
+                headers.get(ProtocolConstants.TENANT),
                 routingKey(headers),
-                RETRY_VALUE.equals(headers.get(HeaderNames.RETRY)),
-                Math.max(0, HeaderValues.parseWholeNumber(singleToken(headers, HeaderNames.COST_HINT))),
+                RETRY_VALUE.equals(headers.get(ProtocolConstants.RETRY)),
+                Math.max(0, HeaderValues.parseWholeNumber(singleToken(headers, ProtocolConstants.COST_HINT))),
                 // Otherwise a client could make the sidecar hold its request for days.
                 Math.min(remainingMicros, requestClass.deadlineMicros()),
                 payload(message));
@@ -52,24 +53,24 @@
 
     /** Returns the request's id; empty if it has no valid one. */
     static String requestId(FullHttpRequest message) {
-        return singleToken(message.headers(), HeaderNames.REQUEST_ID);
+        return singleToken(message.headers(), ProtocolConstants.REQUEST_ID);
     }
 
     private static String requireId(HttpHeaders headers) throws InvalidRequestException {
-        String id = singleToken(headers, HeaderNames.REQUEST_ID);
-        check(!id.isEmpty(), "one request id expected in " + HeaderNames.REQUEST_ID);
+        String id = singleToken(headers, ProtocolConstants.REQUEST_ID);
+        check(!id.isEmpty(), "one request id expected in " + ProtocolConstants.REQUEST_ID);
         return id;
     }
 
     private RequestClass requireClass(HttpHeaders headers) throws InvalidRequestException {
-        RequestClass requestClass = classes.get(singleToken(headers, HeaderNames.REQUEST_CLASS));
-        check(requestClass != null, "the name of a known class expected in " + HeaderNames.REQUEST_CLASS);
+        RequestClass requestClass = classes.get(singleToken(headers, ProtocolConstants.REQUEST_CLASS));
+        check(requestClass != null, "the name of a known class expected in " + ProtocolConstants.REQUEST_CLASS);
         return requestClass;
     }
 
     private static long requireRemainingMicros(HttpHeaders headers) throws InvalidRequestException {
-        long remainingMillis = HeaderValues.parseWholeNumber(singleToken(headers, HeaderNames.REMAINING_MILLIS));
-        check(remainingMillis > 0, "whole milliseconds above 0 expected in " + HeaderNames.REMAINING_MILLIS);
+        long remainingMillis = HeaderValues.parseWholeNumber(singleToken(headers, ProtocolConstants.REMAINING_MILLIS));
+        check(remainingMillis > 0, "whole milliseconds above 0 expected in " + ProtocolConstants.REMAINING_MILLIS);
         return remainingMillis * MICROS_PER_MILLI;
     }
 
@@ -84,9 +85,9 @@
     private static void checkIdempotencyKey(HttpHeaders headers, RequestClass requestClass)
             throws InvalidRequestException {
         boolean required = requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
-        boolean present = headers.contains(HeaderNames.IDEMPOTENCY_KEY);
-        boolean valid = !singleToken(headers, HeaderNames.IDEMPOTENCY_KEY).isEmpty();
-        check(present ? valid : !required, "one key expected in " + HeaderNames.IDEMPOTENCY_KEY);
+        boolean present = headers.contains(ProtocolConstants.IDEMPOTENCY_KEY);
+        boolean valid = !singleToken(headers, ProtocolConstants.IDEMPOTENCY_KEY).isEmpty();
+        check(present ? valid : !required, "one key expected in " + ProtocolConstants.IDEMPOTENCY_KEY);
     }
 
     private static void checkRequestLine(FullHttpRequest message) throws InvalidRequestException {
@@ -113,19 +114,19 @@
         String cookies = headers.get(HttpHeaderNames.COOKIE);
         if (cookies != null) {
             for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
-                if (cookie.name().equals(HeaderNames.ROUTING_KEY_COOKIE)) {
+                if (cookie.name().equals(ProtocolConstants.ROUTING_KEY_COOKIE)) {
                     return HeaderValues.parseHexOrHash(cookie.value()) & (1L << ROUTING_KEY_BITS) - 1;
                 }
             }
         }
-        return ParsedRequest.NO_ROUTING_KEY;
+        return Request.NO_ROUTING_KEY;
     }
 
     private static RequestPayload payload(FullHttpRequest message) {
         return new RequestPayload(
                 message.method(),
                 message.uri(),
-                message.headers().get(HeaderNames.IDEMPOTENCY_KEY),
+                message.headers().get(ProtocolConstants.IDEMPOTENCY_KEY),
                 ByteBufUtil.getBytes(message.content()));
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/RequestPayload.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestPayload.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpVersion;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
  * The parts of a request that every attempt sends unchanged. {@code idempotencyKey} is null if the request has none;
@@ -23,10 +23,10 @@
         FullHttpRequest message =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body));
         message.headers()
-                .set(HeaderNames.REQUEST_ID, requestId)
-                .set(HeaderNames.REMAINING_MILLIS, Math.max(1, remainingMicros / MICROS_PER_MILLI));
+                .set(ProtocolConstants.REQUEST_ID, requestId)
+                .set(ProtocolConstants.REMAINING_MILLIS, Math.max(1, remainingMicros / MICROS_PER_MILLI));
         if (idempotencyKey != null) {
-            message.headers().set(HeaderNames.IDEMPOTENCY_KEY, idempotencyKey);
+            message.headers().set(ProtocolConstants.IDEMPOTENCY_KEY, idempotencyKey);
         }
         return message;
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/DeferredActions.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DeferredActions.java
@@ -32,8 +32,8 @@
     }
 
     @Override
-    public void cancelAttempt(String requestId, int attempt) {
-        pending.add(() -> executor.cancelAttempt(requestId, attempt));
+    public void cancelAttempt(String requestId, int attemptNumber) {
+        pending.add(() -> executor.cancelAttempt(requestId, attemptNumber));
     }
 
     @Override
--- a/src/main/java/loadbalancer/proxy/eventloop/FaultBarrier.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/FaultIsolation.java
@@ -7,8 +7,8 @@
  * single request may cause either: a stack overflow, a class that can't be loaded, or lack of memory. Without this, a
  * periodic task that throws would never run again. Stateless.
  */
-public final class FaultBarrier {
-    private FaultBarrier() {}
+public final class FaultIsolation {
+    private FaultIsolation() {}
 
     /** Runs the task. Returns false if it threw; the failure is then logged with {@code taskName}. */
     public static boolean run(String taskName, Runnable task) {
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -44,7 +44,7 @@
     public void submit(String callName, Consumer<LoadBalancer> call, Runnable onFailure) {
         calls.add(() -> {
             long startMicros = clock.nowMicros();
-            if (!FaultBarrier.run(callName, () -> call.accept(loadBalancer))) {
+            if (!FaultIsolation.run(callName, () -> call.accept(loadBalancer))) {
                 actions.add(onFailure);
             }
             monitor.taskFinished(callName, startMicros);
@@ -69,7 +69,7 @@
     private void runActions() {
         for (Runnable action; (action = actions.poll()) != null; ) {
             long startMicros = clock.nowMicros();
-            FaultBarrier.run("action", action);
+            FaultIsolation.run("action", action);
             monitor.taskFinished("action", startMicros);
         }
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -99,7 +99,7 @@
         postponements = 0;
         // Starts that are added meanwhile are left for the next round.
         for (int remaining = pendingStarts.size(); remaining > 0; remaining--) {
-            FaultBarrier.run("attempt_start", pendingStarts.poll());
+            FaultIsolation.run("attempt_start", pendingStarts.poll());
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -13,6 +13,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.decision.LoadBalancerActions;
 import loadbalancer.proxy.eventloop.LoadBalancerExecutor;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 
@@ -25,9 +26,6 @@
  * are released by the handler, sent ones by Netty.
  */
 public final class GossipTransport {
-    /** The index that stands for all peers. */
-    private static final int ALL_PEERS = -1;
-
     private static final int MAX_DATAGRAM_BYTES = 256;
 
     private final MonotonicClock clock;
@@ -72,8 +70,8 @@
     }
 
     /**
-     * Sends a message to the peer with this index, or to all peers if it is -1. Does nothing if the peer is unknown or
-     * the message is too long.
+     * Sends a message to the peer with this index, or to all peers if it is {@link LoadBalancerActions#ALL_SIDECARS}.
+     * Does nothing if the peer is unknown or the message is too long.
      */
     public void send(int peer, byte[] message) {
         InetSocketAddress recipient = recipient(peer);
@@ -84,7 +82,7 @@
 
     /** Returns null if there is no such peer. */
     private InetSocketAddress recipient(int peer) {
-        if (peer == ALL_PEERS) {
+        if (peer == LoadBalancerActions.ALL_SIDECARS) {
             return allPeers;
         }
         return peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -4,7 +4,7 @@
 import loadbalancer.proxy.client.ClientServer;
 import loadbalancer.proxy.client.RequestDispatcher;
 import loadbalancer.proxy.eventloop.EventLoopMonitor;
-import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.FaultIsolation;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.SidecarLog;
@@ -52,7 +52,7 @@
         eventLoop
                 .eventLoop()
                 .scheduleWithFixedDelay(
-                        () -> FaultBarrier.run("maintenance", this::run),
+                        () -> FaultIsolation.run("maintenance", this::run),
                         INTERVAL_MILLIS,
                         INTERVAL_MILLIS,
                         TimeUnit.MILLISECONDS);
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarActions.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarActions.java
@@ -69,8 +69,8 @@
     }
 
     @Override
-    public void cancelAttempt(String requestId, int attempt) {
-        requests.cancelAttempt(requestId, attempt);
+    public void cancelAttempt(String requestId, int attemptNumber) {
+        requests.cancelAttempt(requestId, attemptNumber);
     }
 
     @Override
@@ -90,7 +90,11 @@
         loadBalancerExecutor.submit(
                 "health_check",
                 loadBalancer -> loadBalancer.onHealthCheck(
-                        clock.nowMicros(), call.endpoint(), outcome, clock.nowMicros() - call.startedMicros(), report),
+                        clock.nowMicros(),
+                        call.endpointId(),
+                        outcome,
+                        clock.nowMicros() - call.startedMicros(),
+                        report),
                 () -> {});
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -21,7 +21,7 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.SidecarLog;
 import loadbalancer.proxy.protocol.EndpointList;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
  * Loads and links the serving code before the sidecar reports readiness. A second sidecar in this process, with its own
@@ -86,7 +86,7 @@
                 DiscoveryWatch.defaultBackoff());
         sidecar.start();
         Bootstrap bootstrap = ClientBootstraps.http(
-                loop, CONNECT_TIMEOUT_MILLIS, HeaderNames.MAX_REQUEST_BODY_BYTES, client::newHandler);
+                loop, CONNECT_TIMEOUT_MILLIS, ProtocolConstants.MAX_REQUEST_BODY_BYTES, client::newHandler);
         for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
             bootstrap.connect(sidecar.listenAddress());
         }
@@ -104,7 +104,7 @@
                         channel.pipeline()
                                 .addLast(
                                         new HttpServerCodec(),
-                                        new HttpObjectAggregator(HeaderNames.MAX_REQUEST_BODY_BYTES),
+                                        new HttpObjectAggregator(ProtocolConstants.MAX_REQUEST_BODY_BYTES),
                                         new WarmUpServerHandler());
                     }
                 })
@@ -117,7 +117,7 @@
     private static EndpointList endpointsAt(InetSocketAddress address) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
-            Endpoint endpoint = new Endpoint("warm-up-" + i, "", "", -1, 0, 1, EndpointState.READY);
+            Endpoint endpoint = new Endpoint("warm-up-" + i, "", "", Endpoint.NO_CELL, 0, 1, EndpointState.READY);
             entries.add(new EndpointList.Entry(endpoint, address));
         }
         return new EndpointList(1, true, entries);
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 import loadbalancer.settings.Idempotency;
 import loadbalancer.settings.RequestClass;
 
@@ -61,13 +61,13 @@
                 HttpVersion.HTTP_1_1, idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST, "/api");
         request.headers()
                 .set(HttpHeaderNames.HOST, "api.internal")
-                .set(HeaderNames.REQUEST_ID, requestId)
-                .set(HeaderNames.REQUEST_CLASS, requestClass.name())
-                .set(HeaderNames.REMAINING_MILLIS, Math.max(1, requestClass.deadlineMicros() / 1000))
-                .set(HttpHeaderNames.COOKIE, HeaderNames.ROUTING_KEY_COOKIE + "=" + requestsSent)
+                .set(ProtocolConstants.REQUEST_ID, requestId)
+                .set(ProtocolConstants.REQUEST_CLASS, requestClass.name())
+                .set(ProtocolConstants.REMAINING_MILLIS, Math.max(1, requestClass.deadlineMicros() / 1000))
+                .set(HttpHeaderNames.COOKIE, ProtocolConstants.ROUTING_KEY_COOKIE + "=" + requestsSent)
                 .set(HttpHeaderNames.CONTENT_LENGTH, 0);
         if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
-            request.headers().set(HeaderNames.IDEMPOTENCY_KEY, requestId);
+            request.headers().set(ProtocolConstants.IDEMPOTENCY_KEY, requestId);
         }
         return request;
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpServerHandler.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpServerHandler.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
  * The server of a warm-up, both endpoint and discovery. Answers requests and immediate discovery calls at once. Leaves
@@ -32,7 +32,7 @@
     private static FullHttpResponse response(String body) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length()).set(HeaderNames.LOAD_REPORT, body);
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length()).set(ProtocolConstants.LOAD_REPORT, body);
         return response;
     }
 
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -16,7 +16,6 @@
  * @param fullSnapshot true if every endpoint is listed; false for a delta, which lists only those that changed
  */
 public record EndpointList(long generation, boolean fullSnapshot, List<Entry> entries) {
-    private static final int NO_CELL = -1;
     private static final double DEFAULT_WEIGHT = 1;
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -63,7 +62,7 @@
                 instance.text("instanceId"),
                 instance.textOr("zone", ""),
                 instance.textOr("machineType", ""),
-                (int) instance.numberOr("cell", NO_CELL),
+                (int) instance.numberOr("cell", Endpoint.NO_CELL),
                 instance.numberOr("startedAtMs", 0) * MICROS_PER_MILLI,
                 instance.realOr("weight", DEFAULT_WEIGHT),
                 parseState(instance.text("lifecycle")));
--- a/src/main/java/loadbalancer/proxy/protocol/HeaderNames.java
+++ b/src/main/java/loadbalancer/proxy/protocol/ProtocolConstants.java
@@ -3,7 +3,7 @@
 /**
  * The names of headers and cookies on the wire, as constants in the terms of the code, and the size limits of bodies.
  */
-public final class HeaderNames {
+public final class ProtocolConstants {
     public static final String REQUEST_ID = "X-Txn";
     public static final String REQUEST_CLASS = "X-Lane";
     public static final String TENANT = "X-Org";
@@ -24,5 +24,5 @@
     /** Endpoints may send more than the 64 KiB that the protocol states; responses of up to 400 KB occur. */
     public static final int MAX_RESPONSE_BODY_BYTES = 1024 * 1024;
 
-    private HeaderNames() {}
+    private ProtocolConstants() {}
 }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 import loadbalancer.decision.AttemptOutcome;
 import loadbalancer.decision.LoadReport;
-import loadbalancer.proxy.protocol.HeaderNames;
 import loadbalancer.proxy.protocol.LoadReportParser;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
  * Determines the outcome of a call from its response and ends the call with it. Stateless; the caller still owns the
@@ -35,7 +35,7 @@
         return LoadReportParser.parse(
                 call.isHealthCheck()
                         ? response.content().toString(StandardCharsets.UTF_8)
-                        : response.headers().get(HeaderNames.LOAD_REPORT));
+                        : response.headers().get(ProtocolConstants.LOAD_REPORT));
     }
 
     private static AttemptOutcome outcome(FullHttpResponse response) {
@@ -49,6 +49,6 @@
     }
 
     private static boolean isRejection(FullHttpResponse response) {
-        return REJECTED_VALUE.equals(response.headers().get(HeaderNames.REJECTED));
+        return REJECTED_VALUE.equals(response.headers().get(ProtocolConstants.REJECTED));
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -21,7 +21,7 @@
     }
 
     private final Kind kind;
-    private final String endpoint;
+    private final String endpointId;
     private final long deadlineMicros;
     private final LongFunction<FullHttpRequest> requestFactory;
     private final UpstreamCallListener listener;
@@ -42,12 +42,12 @@
 
     private UpstreamCall(
             Kind kind,
-            String endpoint,
+            String endpointId,
             long deadlineMicros,
             LongFunction<FullHttpRequest> requestFactory,
             UpstreamCallListener listener) {
         this.kind = kind;
-        this.endpoint = endpoint;
+        this.endpointId = endpointId;
         this.deadlineMicros = deadlineMicros;
         this.requestFactory = requestFactory;
         this.listener = listener;
@@ -60,25 +60,25 @@
      *     the deadline
      */
     public static UpstreamCall attempt(
-            String endpoint,
+            String endpointId,
             long deadlineMicros,
             LongFunction<FullHttpRequest> requestFactory,
             UpstreamCallListener listener) {
-        return new UpstreamCall(Kind.ATTEMPT, endpoint, deadlineMicros, requestFactory, listener);
+        return new UpstreamCall(Kind.ATTEMPT, endpointId, deadlineMicros, requestFactory, listener);
     }
 
     /** Creates a request for the endpoint's load report, which is the body of the response. */
     public static UpstreamCall healthCheck(
-            String endpoint,
+            String endpointId,
             long deadlineMicros,
             LongFunction<FullHttpRequest> requestFactory,
             UpstreamCallListener listener) {
-        return new UpstreamCall(Kind.HEALTH_CHECK, endpoint, deadlineMicros, requestFactory, listener);
+        return new UpstreamCall(Kind.HEALTH_CHECK, endpointId, deadlineMicros, requestFactory, listener);
     }
 
     /** The id of the endpoint that the call goes to. */
-    public String endpoint() {
-        return endpoint;
+    public String endpointId() {
+        return endpointId;
     }
 
     /** When the call was started. */
@@ -97,7 +97,7 @@
     }
 
     /** Whether the call has ended, so that its outcome is known. */
-    public boolean ended() {
+    public boolean hasEnded() {
         return outcome != null;
     }
 
@@ -169,7 +169,7 @@
 
     /** Closes the connection and ends the call; has no effect if the call has already ended. */
     void abort(AttemptOutcome abortOutcome) {
-        if (!ended()) {
+        if (!hasEnded()) {
             closeConnection();
             end(abortOutcome);
         }
@@ -197,7 +197,7 @@
      * {@code body}; the listener may retain it.
      */
     void end(AttemptOutcome finalOutcome, LoadReport loadReport, ByteBuf body) {
-        if (ended()) {
+        if (hasEnded()) {
             return;
         }
         outcome = finalOutcome;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.AttributeKey;
 import java.io.IOException;
-import loadbalancer.proxy.protocol.HeaderNames;
+import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
  * One connection to an endpoint, which carries one call at a time and matches the response to it. It is closed as soon
@@ -31,7 +31,7 @@
 
     private final Channel channel;
     private final ResponseDecoder decoder = new ResponseDecoder();
-    private final ResponseAggregator aggregator = new ResponseAggregator(HeaderNames.MAX_RESPONSE_BODY_BYTES);
+    private final ResponseAggregator aggregator = new ResponseAggregator(ProtocolConstants.MAX_RESPONSE_BODY_BYTES);
     private final ResponseStallTimer stallTimer;
     /** The call whose response is awaited; null if there is none. */
     private UpstreamCall call;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 import loadbalancer.decision.AttemptOutcome;
-import loadbalancer.proxy.eventloop.FaultBarrier;
+import loadbalancer.proxy.eventloop.FaultIsolation;
 import loadbalancer.proxy.eventloop.MonotonicClock;
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import loadbalancer.proxy.observability.TrafficStatistics;
@@ -64,7 +64,7 @@
         connector = new UpstreamConnector(loop, maxConnections, statistics);
         updateTimeouts(timeouts);
         loop.scheduleWithFixedDelay(
-                () -> FaultBarrier.run("idle_connection_sweep", this::closeUnusableConnections),
+                () -> FaultIsolation.run("idle_connection_sweep", this::closeUnusableConnections),
                 SWEEP_INTERVAL_MILLIS,
                 SWEEP_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
@@ -130,7 +130,7 @@
     /** Starts a call. It ends at once if its endpoint is not ready, otherwise at its deadline at the latest. */
     public void startCall(UpstreamCall call) {
         long now = clock.nowMicros();
-        UpstreamEndpoint endpoint = endpoints.get(call.endpoint());
+        UpstreamEndpoint endpoint = endpoints.get(call.endpointId());
         if (endpoint == null || !endpoint.isReady()) {
             call.endUnsent(now);
             return;
@@ -143,7 +143,7 @@
 
     private void assignConnection(UpstreamCall call) {
         endIfNotSendable(call);
-        if (call.ended()) {
+        if (call.hasEnded()) {
             return;
         }
         UpstreamConnection idle =
@@ -174,7 +174,7 @@
         Channel channel = connecting.channel();
         call.useConnection(channel);
         connecting.addListener(connected -> {
-            if (call.ended()) {
+            if (call.hasEnded()) {
                 channel.close();
             } else if (!connected.isSuccess()) {
                 call.connectionLost();
@@ -186,7 +186,7 @@
 
     private void writeIfStillWanted(UpstreamCall call, Channel channel) {
         endIfNotSendable(call);
-        if (!call.ended()) {
+        if (!call.hasEnded()) {
             write(call, UpstreamConnection.of(channel));
         }
     }
--- a/src/main/java/loadbalancer/simulation/NoOpActions.java
+++ b/src/main/java/loadbalancer/simulation/NoOpActions.java
@@ -14,7 +14,7 @@
     public void fail(String requestId) {}
 
     @Override
-    public void cancelAttempt(String requestId, int attempt) {}
+    public void cancelAttempt(String requestId, int attemptNumber) {}
 
     @Override
     public void checkHealth(String endpointId) {}
--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -136,7 +136,7 @@
     }
 
     private static Request newRequest(String id, String requestClass) {
-        return new Request(id, -1, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass);
+        return new Request(id, Request.NO_ROUTING_KEY, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass);
     }
 
     private void request() {
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -59,7 +59,8 @@
         attemptCounts.put(id, 0);
         policy.onRequest(
                 fleet.nowMicros(),
-                new Request(id, -1, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass));
+                new Request(
+                        id, Request.NO_ROUTING_KEY, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass));
     }
 
     /** Runs the action as an event after the delay, unless the process has ended by then. */
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -15,9 +15,7 @@
  * order of the statements in these methods matters.
  */
 final class EventDecoder {
-    private static final long NO_KEY = -1;
     private static final int NO_PAGE = -1;
-    private static final double NOT_REPORTED = -1;
 
     private final EndpointPages pages;
 
@@ -58,36 +56,37 @@
 
     private static InstanceEvent request(FieldReader fields) {
         String id = fields.text();
-        long key = fields.integerOr(NO_KEY);
+        long routingKey = fields.integerOr(Request.NO_ROUTING_KEY);
         boolean retry = fields.flag();
         boolean write = fields.flag();
         double costHintMicros = fields.decimalOr(0);
         long remainingMicros = fields.integer();
         String tenant = fields.textOrNull();
         String requestClass = fields.text();
-        Request request = new Request(id, key, retry, write, costHintMicros, remainingMicros, tenant, requestClass);
+        Request request =
+                new Request(id, routingKey, retry, write, costHintMicros, remainingMicros, tenant, requestClass);
         return (now, balancer) -> balancer.onRequest(now, request);
     }
 
     private static InstanceEvent attemptOutcome(FieldReader fields, List<String> loadReportFieldNames) {
         String requestId = fields.text();
-        int attempt = (int) fields.integer();
+        int attemptNumber = (int) fields.integer();
         String endpointId = fields.text();
         AttemptOutcome outcome = WireNames.attemptOutcome(fields.text());
         long latencyMicros = fields.integerOr(0);
         boolean requestDone = fields.flag();
         LoadReport loadReport = loadReport(fields.textOrNull(), loadReportFieldNames);
-        AttemptResult result =
-                new AttemptResult(requestId, attempt, endpointId, outcome, latencyMicros, requestDone, loadReport);
+        AttemptResult result = new AttemptResult(
+                requestId, attemptNumber, endpointId, outcome, latencyMicros, requestDone, loadReport);
         return (now, balancer) -> balancer.onAttemptOutcome(now, result);
     }
 
     private static InstanceEvent streamStarted(FieldReader fields) {
         String requestId = fields.text();
-        int attempt = (int) fields.integer();
+        int attemptNumber = (int) fields.integer();
         long latencyMicros = fields.integerOr(0);
         String endpointId = fields.text();
-        return (now, balancer) -> balancer.onStreamStart(now, requestId, attempt, endpointId, latencyMicros);
+        return (now, balancer) -> balancer.onStreamStart(now, requestId, attemptNumber, endpointId, latencyMicros);
     }
 
     private static InstanceEvent healthCheckOutcome(FieldReader fields, List<String> loadReportFieldNames) {
@@ -133,7 +132,7 @@
             try {
                 fields.put(
                         fieldNames.get(i),
-                        values[i].equals(WireNames.ABSENT) ? NOT_REPORTED : Double.parseDouble(values[i]));
+                        values[i].equals(WireNames.ABSENT) ? LoadReport.NOT_REPORTED : Double.parseDouble(values[i]));
             } catch (NumberFormatException e) {
                 throw new SimulatorProtocolException("load report '" + row + "' holds a value that is no number");
             }
--- a/src/main/java/loadbalancer/simulator/ReplyWriter.java
+++ b/src/main/java/loadbalancer/simulator/ReplyWriter.java
@@ -45,12 +45,12 @@
     }
 
     @Override
-    public void cancelAttempt(String requestId, int attempt) {
+    public void cancelAttempt(String requestId, int attemptNumber) {
         action(WireNames.CANCEL_ATTEMPT)
                 .append(' ')
                 .append(requestId)
                 .append(' ')
-                .append(attempt)
+                .append(attemptNumber)
                 .append('\n');
     }
 
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -372,8 +372,8 @@
     }
 
     @Override
-    public void cancelAttempt(String requestId, int attempt) {
-        actions.add(new Cancellation(requestId, attempt));
+    public void cancelAttempt(String requestId, int attemptNumber) {
+        actions.add(new Cancellation(requestId, attemptNumber));
     }
 
     @Override
--- a/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
@@ -11,6 +11,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import loadbalancer.decision.Request;
 import loadbalancer.settings.DeduplicationScope;
 import loadbalancer.settings.Idempotency;
 import loadbalancer.settings.RequestClass;
@@ -49,7 +50,7 @@
         assertEquals("/api/slots?day=1", parsed.payload().uri());
         assertNull(parsed.tenant());
         assertNull(parsed.payload().idempotencyKey());
-        assertEquals(ParsedRequest.NO_ROUTING_KEY, parsed.routingKey());
+        assertEquals(Request.NO_ROUTING_KEY, parsed.routingKey());
         assertEquals(0, parsed.costHintMicros());
     }
 
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
@@ -13,7 +13,7 @@
  * process serves on.
  */
 @Timeout(60)
-class FaultBarrierTest {
+class FaultIsolationTest {
     private static int overflow(int depth) {
         return overflow(depth + 1) + 1;
     }
--- a/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
+++ b/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
@@ -61,13 +61,14 @@
     @Override
     public void onAttemptOutcome(long nowMicros, AttemptResult result) {
         LoadReport report = result.loadReport();
-        record("outcome " + result.requestId() + " " + result.attempt() + " " + result.outcome() + " "
+        record("outcome " + result.requestId() + " " + result.attemptNumber() + " " + result.outcome() + " "
                 + result.requestDone() + " " + (report == null ? "-" : report.inFlight()));
         fixture.onOutcome.handle(result.requestId(), result.outcome(), result.requestDone(), actions);
     }
 
     @Override
-    public void onStreamStart(long nowMicros, String requestId, int attempt, String endpointId, long latencyMicros) {}
+    public void onStreamStart(
+            long nowMicros, String requestId, int attemptNumber, String endpointId, long latencyMicros) {}
 
     @Override
     public void onHealthCheck(
--- a/src/test/java/loadbalancer/simulation/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulatedSlowStartTest.java
@@ -10,7 +10,7 @@
  * sidecars. The sidecars are notified of a start up to 4.6 s apart, some are restarted meanwhile, and traffic is
  * unequal.
  */
-class SlowStartBudgetTest {
+class SimulatedSlowStartTest {
     @ParameterizedTest
     @CsvSource({"20, 12", "30, 20", "100, 60"})
     void allSidecarsTogetherKeepToTheBudgetOfEachEndpoint(int sidecarCount, int endpointCount) {
