--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -24,13 +24,13 @@
         this.idleConnections = idleConnections;
     }
 
-    /** Adds the settings' machine types and updates zone numbers. Estimates are kept. */
+    /** Adds the settings' machine types and updates zone indexes. Estimates are kept. */
     void onSettings() {
         for (String name : settings.current().machineTypes()) {
             machineTypeOrNew(name);
         }
         for (TrackedEndpoint endpoint : endpoints.values()) {
-            endpoint.setZone(settings.zoneIndex(endpoint.listEntry().zone()));
+            endpoint.setZoneIndex(settings.zoneIndex(endpoint.listEntry().zone()));
         }
     }
 
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -90,9 +90,9 @@
         Map<ZoneAndType, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
         for (TrackedEndpoint endpoint : registry.ready()) {
             ZoneAndType key =
-                    new ZoneAndType(endpoint.zone(), endpoint.listEntry().machineType());
+                    new ZoneAndType(endpoint.zoneIndex(), endpoint.listEntry().machineType());
             groups.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
-            zoneSizes[endpoint.zone()]++;
+            zoneSizes[endpoint.zoneIndex()]++;
         }
         List<TrackedEndpoint> chosen = new ArrayList<>();
         for (Map.Entry<ZoneAndType, List<TrackedEndpoint>> group : groups.entrySet()) {
@@ -121,7 +121,7 @@
             List<TrackedEndpoint> group, int zone, double size, int zoneSize, List<TrackedEndpoint> chosen) {
         double share = zoneShares.share(zone) * size * group.size() / zoneSize;
         double rounded = Math.floor(share + settings.sidecarIndex() * ROUNDING_STEP % 1);
-        double count = Math.max(zone == settings.localZone() ? 1 : 0, rounded);
+        double count = Math.max(zone == settings.localZoneIndex() ? 1 : 0, rounded);
         int start = (int) (settings.sidecarIndex() * GOLDEN_SECTION % 1 * group.size());
         for (int i = 0; i < Math.min(count, group.size()); i++) {
             chosen.add(group.get((i + start) % group.size()));
--- a/src/main/java/loadbalancer/decision/GossipMessage.java
+++ b/src/main/java/loadbalancer/decision/GossipMessage.java
@@ -8,7 +8,7 @@
  * The message that one sidecar sends to others, and its encoding. Most numbers are unsigned fixed-point numbers of two
  * bytes; a value that is too large is encoded as the largest.
  *
- * @param zone the sender's zone, by the zone's number in the settings
+ * @param zoneIndex the sender's zone, by its index in the settings
  * @param ratePerSecond requests a second that arrive at the sender
  * @param inFlight requests of the sender that endpoints hold
  * @param machineTypes the sender's estimates of each machine type, in the order of the settings
@@ -16,7 +16,11 @@
  *     failure
  */
 record GossipMessage(
-        int zone, double ratePerSecond, double inFlight, List<MachineTypeSample> machineTypes, long idleLimitMicros) {
+        int zoneIndex,
+        double ratePerSecond,
+        double inFlight,
+        List<MachineTypeSample> machineTypes,
+        long idleLimitMicros) {
 
     private static final int MAX_SHORT = 65_535;
     private static final int MAX_BYTE = 255;
@@ -40,7 +44,7 @@
 
     byte[] encode() {
         ByteBuffer buffer = ByteBuffer.allocate(encodedLength(machineTypes.size()));
-        buffer.put((byte) Math.min(MAX_BYTE, zone));
+        buffer.put((byte) Math.min(MAX_BYTE, zoneIndex));
         buffer.putShort(unsigned(ratePerSecond * RATE_UNITS_PER_REQUEST));
         buffer.putShort(unsigned(inFlight));
         for (MachineTypeSample sample : machineTypes) {
@@ -63,7 +67,7 @@
             return null;
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
-        int zone = Byte.toUnsignedInt(buffer.get());
+        int zoneIndex = Byte.toUnsignedInt(buffer.get());
         double ratePerSecond = unsignedShort(buffer) / RATE_UNITS_PER_REQUEST;
         double inFlight = unsignedShort(buffer);
         List<MachineTypeSample> machineTypes = new ArrayList<>(machineTypeCount);
@@ -73,7 +77,7 @@
             machineTypes.add(new MachineTypeSample(speedFactor, cores, Byte.toUnsignedInt(buffer.get())));
         }
         long idleLimitMicros = unsignedShort(buffer) * (long) MICROS_PER_MILLI;
-        return new GossipMessage(zone, ratePerSecond, inFlight, machineTypes, idleLimitMicros);
+        return new GossipMessage(zoneIndex, ratePerSecond, inFlight, machineTypes, idleLimitMicros);
     }
 
     private static int encodedLength(int machineTypeCount) {
--- a/src/main/java/loadbalancer/decision/GossipPeer.java
+++ b/src/main/java/loadbalancer/decision/GossipPeer.java
@@ -5,7 +5,7 @@
  *
  * @param ratePerSecond requests a second that arrive at it
  * @param inFlight requests of that sidecar that endpoints hold
- * @param zone its zone, by the zone's number in the settings
+ * @param zoneIndex its zone, by its index in the settings
  * @param receivedMicros when its message arrived
  */
-record GossipPeer(double ratePerSecond, double inFlight, int zone, long receivedMicros) {}
+record GossipPeer(double ratePerSecond, double inFlight, int zoneIndex, long receivedMicros) {}
--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -29,12 +29,12 @@
     void onMessage(long nowMicros, int sidecarIndex, byte[] bytes) {
         List<String> machineTypes = settings.current().machineTypes();
         GossipMessage message = isPeer(sidecarIndex) ? GossipMessage.decode(bytes, machineTypes.size()) : null;
-        if (message == null || message.zone() >= gossip.zoneCount()) {
+        if (message == null || message.zoneIndex() >= gossip.zoneCount()) {
             return;
         }
         double ratePerSecond = plausibleRate(message.ratePerSecond());
         double inFlight = plausibleInFlight(message.inFlight(), ratePerSecond);
-        gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zone(), nowMicros));
+        gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zoneIndex(), nowMicros));
         for (int i = 0; i < machineTypes.size(); i++) {
             registry.machineType(machineTypes.get(i))
                     .mergePeerEstimate(message.machineTypes().get(i));
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -73,7 +73,7 @@
             samples.add(registry.machineType(name).sample());
         }
         return new GossipMessage(
-                settings.localZone(),
+                settings.localZoneIndex(),
                 rates.localPerSecond(),
                 fleetLoad.localInFlight(nowMicros),
                 samples,
--- a/src/main/java/loadbalancer/decision/GossipState.java
+++ b/src/main/java/loadbalancer/decision/GossipState.java
@@ -10,16 +10,16 @@
     private static final long PEER_LIVE_MICROS = 5_000_000;
 
     private GossipPeer[] peers;
-    private double[] zoneRates;
-    private double meanRate;
+    private double[] zoneRatesPerSecond;
+    private double meanRatePerSecond;
     private int livePeers;
     private double livePeersInFlight;
 
     /** Forgets all peers, whose numbers may belong to other sidecars under new settings. */
     void reset(int sidecarCount, int zoneCount) {
         peers = new GossipPeer[sidecarCount];
-        zoneRates = new double[zoneCount];
-        meanRate = 0;
+        zoneRatesPerSecond = new double[zoneCount];
+        meanRatePerSecond = 0;
     }
 
     void record(int sidecarIndex, GossipPeer peer) {
@@ -27,9 +27,9 @@
     }
 
     /** Sums up the live peers and this sidecar. */
-    void summarize(long nowMicros, int localZone, double localRate) {
-        Arrays.fill(zoneRates, 0);
-        zoneRates[localZone] = localRate;
+    void summarize(long nowMicros, int localZoneIndex, double localRatePerSecond) {
+        Arrays.fill(zoneRatesPerSecond, 0);
+        zoneRatesPerSecond[localZoneIndex] = localRatePerSecond;
         livePeers = 0;
         livePeersInFlight = 0;
         for (GossipPeer peer : peers) {
@@ -37,27 +37,27 @@
                 continue;
             }
             livePeers++;
-            zoneRates[peer.zone()] += peer.ratePerSecond();
+            zoneRatesPerSecond[peer.zoneIndex()] += peer.ratePerSecond();
             livePeersInFlight += peer.inFlight();
         }
-        for (int zone = 0; zone < zoneRates.length; zone++) {
-            zoneRates[zone] /= livePeers + 1;
+        for (int zone = 0; zone < zoneRatesPerSecond.length; zone++) {
+            zoneRatesPerSecond[zone] /= livePeers + 1;
         }
-        meanRate = Arrays.stream(zoneRates).sum();
+        meanRatePerSecond = Arrays.stream(zoneRatesPerSecond).sum();
     }
 
     int zoneCount() {
-        return zoneRates.length;
+        return zoneRatesPerSecond.length;
     }
 
-    /** The zone's part of {@link #meanRate}, in requests a second. */
-    double zoneRate(int zone) {
-        return zoneRates[zone];
+    /** The zone's part of {@link #meanRatePerSecond}, in requests a second. */
+    double zoneRatePerSecond(int zoneIndex) {
+        return zoneRatesPerSecond[zoneIndex];
     }
 
     /** Mean requests a second of one sidecar, over the live peers and this one; 0 before the first summary. */
-    double meanRate() {
-        return meanRate;
+    double meanRatePerSecond() {
+        return meanRatePerSecond;
     }
 
     /** Number of sidecars whose gossip is recent, without this one. */
--- a/src/main/java/loadbalancer/decision/PolicySettings.java
+++ b/src/main/java/loadbalancer/decision/PolicySettings.java
@@ -27,7 +27,7 @@
     private long highestPriorityObjectiveMicros;
     private long longestDeadlineMicros;
     private double quotaSumPerSecond;
-    private int localZone;
+    private int localZoneIndex;
     private boolean samplesLoad;
 
     void apply(LoadBalancerSettings settings) {
@@ -43,7 +43,7 @@
         highestPriorityObjectiveMicros = shortestObjectiveMicros(settings, highestPriorityWeight);
         quotaSumPerSecond =
                 settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
-        localZone = zoneIndex(settings.zone());
+        localZoneIndex = zoneIndex(settings.zone());
         samplesLoad = settings.limits().healthChecks()
                 && settings.loadReporting() != LoadReporting.NONE
                 && 2 * settings.prices().healthCheck() <= MAX_SAMPLING_PRICE;
@@ -116,8 +116,8 @@
         return current.zones().size();
     }
 
-    int localZone() {
-        return localZone;
+    int localZoneIndex() {
+        return localZoneIndex;
     }
 
     boolean hasLoadReports() {
--- a/src/main/java/loadbalancer/decision/RequestRateEstimator.java
+++ b/src/main/java/loadbalancer/decision/RequestRateEstimator.java
@@ -38,7 +38,7 @@
         localRate = keep * localRate + (1 - keep) * arrivals * RateMath.MICROS_PER_SECOND / passedMicros;
         arrivals = 0;
         measuredMicros = nowMicros;
-        gossip.summarize(nowMicros, settings.localZone(), localRate);
+        gossip.summarize(nowMicros, settings.localZoneIndex(), localRate);
     }
 
     /** Requests a second to this sidecar. */
@@ -48,7 +48,7 @@
 
     /** Requests a second to the fleet: the mean of this sidecar and its live peers, times the number of sidecars. */
     double fleetPerSecond() {
-        double mean = gossip.meanRate();
+        double mean = gossip.meanRatePerSecond();
         return settings.sidecarCount() * (mean > 0 ? mean : localRate);
     }
 }
--- a/src/main/java/loadbalancer/decision/RoutingTable.java
+++ b/src/main/java/loadbalancer/decision/RoutingTable.java
@@ -141,7 +141,7 @@
         all.add(endpoint);
         weightSum += OutlierDetector.isEjected(endpoint, nowMicros) ? 0 : endpoint.routingWeight();
         if (settings.prefersLocalZone()) {
-            (endpoint.zone() == settings.localZone() ? inLocalZone : inOtherZones).add(endpoint);
+            (endpoint.zoneIndex() == settings.localZoneIndex() ? inLocalZone : inOtherZones).add(endpoint);
         }
         if (hasShare && capacityRatio < 1) {
             inSlowStart.add(endpoint);
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -11,7 +11,7 @@
     private Endpoint listEntry;
     private boolean ready;
     private boolean removed;
-    private int zone;
+    private int zoneIndex;
     private double routingWeight;
 
     final InFlightAttempts.PerEndpoint attempts = new InFlightAttempts.PerEndpoint();
@@ -37,7 +37,7 @@
             connections.reset();
         }
         listEntry = newListEntry;
-        zone = zoneIndex;
+        this.zoneIndex = zoneIndex;
         ready = newListEntry.state() == EndpointState.READY;
         removed = newListEntry.state() == EndpointState.REMOVED;
     }
@@ -47,9 +47,9 @@
         removed = true;
     }
 
-    /** Sets the zone's number under new settings. */
-    void setZone(int zoneIndex) {
-        zone = zoneIndex;
+    /** Sets the zone's index under new settings. */
+    void setZoneIndex(int zoneIndex) {
+        this.zoneIndex = zoneIndex;
     }
 
     /** Called by {@link RoutingTable} alone. */
@@ -75,9 +75,9 @@
         return sharedOrder;
     }
 
-    /** Its zone's number in the settings; 0 where they do not name it. */
-    int zone() {
-        return zone;
+    /** The index of its zone in the settings; 0 where they do not name it. */
+    int zoneIndex() {
+        return zoneIndex;
     }
 
     boolean isReady() {
--- a/src/main/java/loadbalancer/decision/ZoneShares.java
+++ b/src/main/java/loadbalancer/decision/ZoneShares.java
@@ -20,7 +20,7 @@
     void update() {
         shares = new double[gossip.zoneCount()];
         for (TrackedEndpoint endpoint : registry.ready()) {
-            shares[endpoint.zone()] += 1.0 / registry.ready().size();
+            shares[endpoint.zoneIndex()] += 1.0 / registry.ready().size();
         }
         if (settings.prefersLocalZone() && settings.localLoadIsUnrepresentative()) {
             preferLocalZone();
@@ -29,21 +29,25 @@
 
     /** Gives the other zones only the local zone's excess, in proportion to what each has to spare. */
     private void preferLocalZone() {
-        int localZone = settings.localZone();
-        double meanRate = gossip.livePeers() > 0 ? gossip.meanRate() : 0;
-        double localShare = meanRate <= 0
+        int localZoneIndex = settings.localZoneIndex();
+        double meanRatePerSecond = gossip.livePeers() > 0 ? gossip.meanRatePerSecond() : 0;
+        double localShare = meanRatePerSecond <= 0
                 ? 1
-                : Math.min(1, RateMath.safeDivide(shares[localZone] * meanRate, gossip.zoneRate(localZone)));
+                : Math.min(
+                        1,
+                        RateMath.safeDivide(
+                                shares[localZoneIndex] * meanRatePerSecond, gossip.zoneRatePerSecond(localZoneIndex)));
         double spareSum = 0;
         for (int zone = 0; zone < shares.length; zone++) {
-            boolean takesNone = zone == localZone || meanRate <= 0;
-            shares[zone] = takesNone ? 0 : Math.max(0, shares[zone] - gossip.zoneRate(zone) / meanRate);
+            boolean takesNone = zone == localZoneIndex || meanRatePerSecond <= 0;
+            shares[zone] =
+                    takesNone ? 0 : Math.max(0, shares[zone] - gossip.zoneRatePerSecond(zone) / meanRatePerSecond);
             spareSum += shares[zone];
         }
         for (int zone = 0; zone < shares.length; zone++) {
             shares[zone] *= RateMath.safeDivide(1 - localShare, spareSum);
         }
-        shares[localZone] = localShare;
+        shares[localZoneIndex] = localShare;
     }
 
     /** The part of the local requests, 0 to 1, that goes to the zone. */
@@ -53,6 +57,6 @@
 
     /** The part of the local requests, 0 to 1, that stays in the local zone. */
     double localShare() {
-        return shares[settings.localZone()];
+        return shares[settings.localZoneIndex()];
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -48,7 +48,7 @@
         if (accepting) {
             resumedMicros = nowMicros;
             // Wakes the loop so that it reads all sockets; only then is it known whether any connection was waiting.
-            eventLoop.eventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
+            eventLoop.nettyEventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
         } else {
             forgetPauseOnceRead();
             pausedMicros = pausedMicros == NEVER ? nowMicros : pausedMicros;
--- a/src/main/java/loadbalancer/proxy/client/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientListener.java
@@ -40,7 +40,7 @@
      */
     InetSocketAddress bind(InetSocketAddress address) throws InterruptedException {
         channel = new ServerBootstrap()
-                .group(eventLoop.eventLoop())
+                .group(eventLoop.nettyEventLoop())
                 .channelFactory(NioServerSocketChannel::new)
                 .handler(backlog)
                 .option(ChannelOption.SO_BACKLOG, SYSTEM_BACKLOG)
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -87,7 +87,7 @@
             onCompleted.run();
         } else {
             eventLoop
-                    .eventLoop()
+                    .nettyEventLoop()
                     .schedule(() -> checkRepeatedly(onCompleted), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
@@ -94,7 +94,7 @@
     }
 
     private SidecarConfiguration configuration() {
-        Map<String, String> settingsText = file.object(SETTINGS).flat();
+        Map<String, String> settingsText = file.object(SETTINGS).flattened();
         LoadBalancerSettings settings = new SettingsReader(settingsText).read();
         return new SidecarConfiguration(
                 environment.getOrDefault(NAME_VARIABLE, file.textOr(NAME, DEFAULT_NAME)),
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -18,8 +18,8 @@
  * Therefore an attempt is started only after a recent read of all sockets ({@link #afterPendingReads}). This takes up
  * to {@link #MAX_POSTPONEMENTS} further iterations of the loop, but never blocks it.
  *
- * <p>{@link #clock}, {@link #eventLoop} and {@link #shutDown} may be called from any thread, all other methods only on
- * the event loop.
+ * <p>{@link #clock}, {@link #nettyEventLoop} and {@link #shutDown} may be called from any thread, all other methods
+ * only on the event loop.
  */
 public final class ReadTrackingEventLoop {
     /**
@@ -66,7 +66,7 @@
         return clock;
     }
 
-    public EventLoop eventLoop() {
+    public EventLoop nettyEventLoop() {
         return loop;
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -50,7 +50,7 @@
         monitor.start();
         previousRunMicros = clock.nowMicros();
         eventLoop
-                .eventLoop()
+                .nettyEventLoop()
                 .scheduleWithFixedDelay(
                         () -> FaultIsolation.run("maintenance", this::run),
                         INTERVAL_MILLIS,
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -75,7 +75,7 @@
         this.loadBalancerFactory = loadBalancerFactory;
         this.eventLoop = eventLoop;
         clock = eventLoop.clock();
-        loop = eventLoop.eventLoop();
+        loop = eventLoop.nettyEventLoop();
         descriptors = DescriptorBudget.of(configuration.descriptorLimit());
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         loadBalancerExecutor = new LoadBalancerExecutor(clock, monitor);
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarActions.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarActions.java
@@ -44,7 +44,7 @@
             UpstreamConnectionPool upstreams,
             DiscoveryWatch discovery,
             GossipTransport gossip) {
-        loop = eventLoop.eventLoop();
+        loop = eventLoop.nettyEventLoop();
         clock = eventLoop.clock();
         this.loadBalancerExecutor = loadBalancerExecutor;
         this.requests = requests;
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -74,7 +74,7 @@
     }
 
     private void serveRequests(ReadTrackingEventLoop eventLoop) throws InterruptedException {
-        EventLoop loop = eventLoop.eventLoop();
+        EventLoop loop = eventLoop.nettyEventLoop();
         InetSocketAddress anyPort =
                 new InetSocketAddress(configuration.listenAddress().getAddress(), 0);
         InetSocketAddress serverAddress = startServer(loop, anyPort);
--- a/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -111,7 +111,7 @@
      * such as {@code a.0.b}, and {@code a.count} for its length. A list of plain values becomes one string, joined by
      * commas.
      */
-    public Map<String, String> flat() {
+    public Map<String, String> flattened() {
         Map<String, String> values = new TreeMap<>();
         flatten("", fields, values);
         return values;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -59,7 +59,7 @@
             TrafficStatistics statistics) {
         this.eventLoop = eventLoop;
         this.reuseDelayMicros = reuseDelayMicros;
-        loop = eventLoop.eventLoop();
+        loop = eventLoop.nettyEventLoop();
         clock = eventLoop.clock();
         connector = new UpstreamConnector(loop, maxConnections, statistics);
         updateTimeouts(timeouts);
--- a/src/test/java/loadbalancer/decision/GossipMessageTest.java
+++ b/src/test/java/loadbalancer/decision/GossipMessageTest.java
@@ -21,7 +21,7 @@
     void isDecodedAsItWasEncoded() {
         GossipMessage decoded = GossipMessage.decode(message(604.5, 128).encode(), 2);
         assertNotNull(decoded);
-        assertEquals(1, decoded.zone());
+        assertEquals(1, decoded.zoneIndex());
         assertEquals(604.5, decoded.ratePerSecond(), 0.1);
         assertEquals(128, decoded.inFlight());
         assertEquals(MACHINE_TYPES, decoded.machineTypes());
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -44,7 +44,7 @@
     @BeforeEach
     void createSidecar() throws Exception {
         sidecar = new SidecarFixture();
-        sidecar.upstream((request, connection) -> connection.answer("200 OK", "", request.header("X-Txn")));
+        sidecar.upstream((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
         sidecar.onRequest = (now, request, out) -> {
             if (request.id().startsWith("block")) {
                 blocked.release();
@@ -116,7 +116,7 @@
         sidecar.discovery.script = (request, connection) -> {
             if (request.path().contains("index=41&")) {
                 String entry = SidecarFixture.entry("full", address, "Ready", 0);
-                connection.answer("200 OK", "", SidecarFixture.list(42, false, entry));
+                connection.respond("200 OK", "", SidecarFixture.list(42, false, entry));
             }
         };
         SidecarFixture.RequestHandler others = sidecar.onRequest;
@@ -195,13 +195,13 @@
         sidecar.endpointServers.get(0).script = (request, connection) -> {
             if (request.header("X-Txn").startsWith("gone")) {
                 fail.acquireUninterruptibly();
-                connection.answer("500 No", "", "");
+                connection.respond("500 No", "", "");
                 failed.release();
             } else {
-                connection.answer("200 OK", "", "");
+                connection.respond("200 OK", "", "");
             }
         };
-        StubServer secondEndpoint = sidecar.upstream((request, connection) -> connection.answer("200 OK", "", ""));
+        StubServer secondEndpoint = sidecar.upstream((request, connection) -> connection.respond("200 OK", "", ""));
         routeWarmUpToSecondEndpoint();
         sidecar.onOutcome = (id, outcome, done, out) -> {
             if (!done) {
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -60,7 +60,7 @@
                         + "x".repeat(65_536),
                 200);
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
             sidecar.await("list DELTA");
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
@@ -96,13 +96,13 @@
         cases.put(head + chunked + "\r\nzz\r\n" + hidden, 400);
         cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + hidden, 400);
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
                 try (StubServer.Client client = sidecar.client()) {
                     client.send(entry.getKey());
                     assertEquals(entry.getValue(), client.status(), entry.getKey());
-                    assertTrue(client.ended(), entry.getKey());
+                    assertTrue(client.isClosedBySidecar(), entry.getKey());
                 }
             }
             assertTrue(endpoint.messages.isEmpty(), "a hidden request was forwarded");
@@ -116,7 +116,7 @@
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {
                 gate.await();
-                connection.answer("200 OK", "", "first");
+                connection.respond("200 OK", "", "first");
             });
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
@@ -124,9 +124,9 @@
                         + "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n");
                 sidecar.await("request a1");
                 gate.open();
-                assertEquals("first", client.answer().body());
+                assertEquals("first", client.readResponse().body());
                 assertEquals(413, client.status());
-                assertTrue(client.ended());
+                assertTrue(client.isClosedBySidecar());
             }
         }
     }
@@ -135,7 +135,7 @@
     @Test
     void silentClientsAndIncompleteRequestsAreGivenUp() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
             try (StubServer.Client silent = sidecar.client();
                     StubServer.Client partialHead = sidecar.client();
@@ -144,11 +144,11 @@
                 partialHead.send("GET /api HTTP/1.1\r\nX-T");
                 partialBody.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
                 assertStatus(200, afterOneRequest, SidecarFixture.get("a1", 20_000));
-                assertTrue(silent.ended());
+                assertTrue(silent.isClosedBySidecar());
                 assertEquals(408, partialHead.status());
                 assertEquals(408, partialBody.status());
-                assertTrue(partialHead.ended() && partialBody.ended());
-                assertTrue(afterOneRequest.ended(), "a connection is kept for good after a single request");
+                assertTrue(partialHead.isClosedBySidecar() && partialBody.isClosedBySidecar());
+                assertTrue(afterOneRequest.isClosedBySidecar(), "a connection is kept for good after a single request");
             }
         }
     }
@@ -157,7 +157,7 @@
     @Test
     void noRequestIsKeptLongerThanItsClassAllows() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "ok"));
+            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
                 assertStatus(200, client, SidecarFixture.get("a1", 999_999_999));
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -35,7 +35,7 @@
 class RequestDispatcherTest {
     private final MonotonicClock clock = new MonotonicClock();
     private final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(clock);
-    private final EventLoop loop = eventLoop.eventLoop();
+    private final EventLoop loop = eventLoop.nettyEventLoop();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private RequestDispatcher dispatcher;
     private UpstreamConnectionPool upstreams;
@@ -120,7 +120,7 @@
     /** Whether its client disconnects or it has its response: an attempt that waits for a connection is not sent. */
     @Test
     void anAttemptThatWaitsForItsConnectionIsNotSentOnceItsRequestIsCompleted() throws Exception {
-        try (StubServer server = new StubServer((m, line) -> line.answer("200 OK", "", m.header("X-Txn")))) {
+        try (StubServer server = new StubServer((m, line) -> line.respond("200 OK", "", m.header("X-Txn")))) {
             setEndpoint("u0", server);
             for (String end : new String[] {"disconnected", "rejected", "failed"}) {
                 loop.execute(() -> {
@@ -148,7 +148,7 @@
     /** Whoever looks for a late request finds its attempts under its id. */
     @Test
     void theLogLineOfALateResponseListsItsAttempts() throws Exception {
-        try (StubServer server = new StubServer((m, line) -> line.answer("500 No", "", ""))) {
+        try (StubServer server = new StubServer((m, line) -> line.respond("500 No", "", ""))) {
             setEndpoint("u0", server);
             RequestExchange exchange = exchange("late");
             loop.execute(() -> {
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -32,7 +32,7 @@
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
                 client.send(SidecarFixture.get("a1", 20_000));
-                StubServer.Message response = client.answer();
+                StubServer.Message response = client.readResponse();
                 assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
                 assertEquals("0.165", response.header("Retry-After"));
                 // The next response belongs to the next request: the first has one response only.
@@ -71,7 +71,7 @@
     @Test
     void anExceptionOfTheLoadBalancerFailsItsRequestAlone() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.answer("500 No", "", ""));
+            sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
             sidecar.onRequest = (now, request, out) -> {
                 throw new IllegalStateException("thrown by the test");
             };
@@ -117,7 +117,7 @@
                 sidecar.await("request");
                 client.socket.shutdownOutput();
                 assertEquals("expired a1", sidecar.await("expired"));
-                assertTrue(client.ended());
+                assertTrue(client.isClosedBySidecar());
             }
         }
     }
@@ -128,7 +128,7 @@
         try (SidecarFixture sidecar = new SidecarFixture()) {
             BlockingQueue<StubServer.Connection> unanswered = new LinkedBlockingQueue<>();
             sidecar.upstream((request, connection) -> unanswered.add(connection));
-            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", "second"));
+            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "second"));
             sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
             sidecar.onOutcome = (id, outcome, done, out) -> {};
             sidecar.start();
@@ -142,9 +142,9 @@
                 try (StubServer.Client other = sidecar.client()) {
                     assertStatus(502, other, SidecarFixture.get("a2", 20_000));
                 }
-                assertEquals("second", client.answer().body());
+                assertEquals("second", client.readResponse().body());
                 assertEquals("outcome a1 1 OK true -", sidecar.await("outcome"));
-                unanswered.take().answer("200 OK", "", "first");
+                unanswered.take().respond("200 OK", "", "first");
                 assertEquals("outcome a1 0 OK true -", sidecar.await("outcome"));
                 assertStatus(404, client, UNKNOWN_PATH);
             }
@@ -154,7 +154,7 @@
     @Test
     void attemptsBeyondTheMaximumAreNotSent() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> connection.answer("500 No", "", ""));
+            StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
             sidecar.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == AttemptOutcome.NOT_SENT) {
                     out.fail(id);
@@ -173,12 +173,12 @@
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.answer("200 OK", "", request.header("X-Txn")));
+            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
                 client.send(pipelined(40));
                 for (int i = 0; i < 40; i++) {
-                    assertEquals("p" + i, client.answer().body());
+                    assertEquals("p" + i, client.readResponse().body());
                 }
             }
         }
@@ -220,7 +220,7 @@
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {
                 gate.await();
-                connection.answer("200 OK", "", request.header("X-Txn"));
+                connection.respond("200 OK", "", request.header("X-Txn"));
             });
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
@@ -229,12 +229,12 @@
                 gate.open();
                 int served = 0;
                 StubServer.Message response;
-                while ((response = client.answer()).head().startsWith("HTTP/1.1 200 ")) {
+                while ((response = client.readResponse()).head().startsWith("HTTP/1.1 200 ")) {
                     assertEquals("p" + served++, response.body());
                 }
                 assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
                 assertTrue(served > 40 && served < 2_000, served + " were served");
-                assertTrue(client.ended());
+                assertTrue(client.isClosedBySidecar());
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
@@ -40,7 +40,7 @@
     }
 
     private static StubServer.Script respond(String status, String headers, String body) {
-        return (request, connection) -> connection.answer(status, headers, body);
+        return (request, connection) -> connection.respond(status, headers, body);
     }
 
     private static StubServer.Script delta(long generation, String... entries) {
@@ -160,7 +160,7 @@
     void aNewServiceIsQueriedForAFullSnapshotAtOnce() throws Exception {
         try (StubServer newService = new StubServer((request, connection) -> {
                     if (request.path().equals("/registry/instances")) {
-                        connection.answer("200 OK", "", SidecarFixture.list(3, true, READY));
+                        connection.respond("200 OK", "", SidecarFixture.list(3, true, READY));
                     }
                 });
                 SidecarFixture fixture = polled(SILENT)) {
@@ -182,7 +182,7 @@
     /** Changes count as delivered also while no watch is up. */
     @Test
     void aWatchWhoseConnectionBreaksIsRestartedAtOnce() throws Exception {
-        StubServer.Script unchanged = (request, connection) -> connection.answer(
+        StubServer.Script unchanged = (request, connection) -> connection.respond(
                 "200 OK", "", SidecarFixture.list(request.path().contains("=41&") ? 41 : 42, false));
         try (SidecarFixture fixture = startPushed(
                 HOUR_LONG,
@@ -206,9 +206,9 @@
         AtomicInteger calls = new AtomicInteger();
         try (SidecarFixture fixture = startPushed(new WatchTimeouts(1, 100, HOUR_MILLIS), (request, connection) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> connection.answer("200 OK", "", SidecarFixture.list(41, false));
+                case 1 -> connection.respond("200 OK", "", SidecarFixture.list(41, false));
                 case 2 -> {}
-                default -> connection.answer("200 OK", "", SidecarFixture.list(42, false, DRAINING));
+                default -> connection.respond("200 OK", "", SidecarFixture.list(42, false, DRAINING));
             }
         })) {
             fixture.await("list CACHED");
@@ -241,7 +241,7 @@
         })) {
             StubServer.Connection firstCall = firstCalls.poll(20, TimeUnit.SECONDS);
             assertEquals(503, readinessStatus(fixture));
-            firstCall.answer("200 OK", "", SidecarFixture.list(42, false, READY));
+            firstCall.respond("200 OK", "", SidecarFixture.list(42, false, READY));
             assertEquals("list DELTA u0=READY", fixture.await("list DELTA"));
             assertEquals(200, readinessStatus(fixture));
         }
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
@@ -72,7 +72,7 @@
                 // The load balancer fails in its timer, and the requests that it held are answered.
                 assertEquals(502, active.status());
                 // A silent client is still disconnected by the maintenance.
-                assertEquals(true, silent.ended());
+                assertEquals(true, silent.isClosedBySidecar());
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -22,7 +22,7 @@
     private static void assertResponseStartsWith(String prefix, SidecarFixture fixture, String request)
             throws Exception {
         try (StubServer.Client client = fixture.client()) {
-            String head = client.send(request).answer().head();
+            String head = client.send(request).readResponse().head();
             assertTrue(head.startsWith(prefix), head);
         }
     }
@@ -34,7 +34,7 @@
         try (SidecarFixture fixture = new SidecarFixture()) {
             StubServer endpoint = fixture.upstream((request, connection) -> {
                 StubServer.awaitLatch(reloaded);
-                connection.answer("200 OK", "", request.header("X-Txn"));
+                connection.respond("200 OK", "", request.header("X-Txn"));
             });
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
@@ -47,11 +47,11 @@
                 fixture.reload(fixture.discovery.address());
                 assertEquals("settings added,k", fixture.await("settings"));
                 reloaded.countDown();
-                assertEquals("in-flight", client.answer().body());
+                assertEquals("in-flight", client.readResponse().body());
                 assertResponseStartsWith("HTTP/1.1 200 ", fixture, get("n1", "added"));
                 assertResponseStartsWith("HTTP/1.1 400 ", fixture, get("n2", "c"));
                 retryUntilNotSent(fixture);
-                endpoint.script = (request, connection) -> connection.answer("500 No", "", "");
+                endpoint.script = (request, connection) -> connection.respond("500 No", "", "");
                 assertEquals(502, client.send(get("n3", "added")).status());
                 assertEquals("outcome n3 0 ERROR false -", fixture.await("outcome n3"));
                 assertEquals("outcome n3 1 NOT_SENT false -", fixture.await("outcome n3"));
@@ -90,7 +90,7 @@
                 assertTrue(e.getMessage().contains(row[2]), e.getMessage());
             }
             try (StubServer.Client client = fixture.client()) {
-                assertEquals("r", client.send(get("r", "c")).answer().body());
+                assertEquals("r", client.send(get("r", "c")).readResponse().body());
             }
             fixture.events.forEach(event -> assertTrue(!event.startsWith("settings"), event));
         }
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
@@ -34,12 +34,12 @@
                 // Behind all of them in the backlog: silent clients are closed after a while and make room.
                 try (StubServer.Client active = fixture.client()) {
                     active.send(SidecarFixture.get("active", 20_000));
-                    assertEquals("served", active.answer().body());
+                    assertEquals("served", active.readResponse().body());
                 }
                 assertConnectionsWithinLimit(fixture, descriptorLimit);
                 fixture.discovery.script = (request, connection) -> {
                     if (request.path().contains("index=41&")) {
-                        connection.answer(
+                        connection.respond(
                                 "200 OK",
                                 "",
                                 SidecarFixture.list(42, false, SidecarFixture.entry("u9", "127.0.0.1:9", "Ready", 0)));
--- a/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
@@ -19,7 +19,7 @@
             if (request.header("X-Txn").startsWith(prefix)) {
                 StubServer.awaitLatch(released);
             }
-            connection.answer("200 OK", "", request.header("X-Txn"));
+            connection.respond("200 OK", "", request.header("X-Txn"));
         };
     }
 
@@ -41,23 +41,23 @@
                 held.send(SidecarFixture.get("held", 30_000));
                 fixture.await("request held");
                 idle.send(SidecarFixture.get("before", 30_000));
-                assertEquals("before", idle.answer().body());
+                assertEquals("before", idle.readResponse().body());
                 String partialRequest = SidecarFixture.get("partial", 30_000);
                 partial.send(partialRequest.substring(0, 30));
                 fixture.sidecar.shutDownGracefully(stopped::countDown);
                 try (StubServer.Client connectedLater = fixture.client()) {
                     connectedLater.send(SidecarFixture.get("later", 30_000));
-                    assertLastResponse("later", connectedLater.answer());
-                    assertEquals(null, connectedLater.answer());
+                    assertLastResponse("later", connectedLater.readResponse());
+                    assertEquals(null, connectedLater.readResponse());
                 }
                 // An idle connection is closed; until then it is served.
-                assertEquals(null, idle.answer());
+                assertEquals(null, idle.readResponse());
                 partial.send(partialRequest.substring(30));
-                assertLastResponse("partial", partial.answer());
+                assertLastResponse("partial", partial.readResponse());
                 assertEquals(1, stopped.getCount(), "it stopped with a request in flight");
                 released.countDown();
-                assertEquals("held", held.answer().body());
-                assertEquals(null, held.answer());
+                assertEquals("held", held.readResponse().body());
+                assertEquals(null, held.readResponse());
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
             }
         }
@@ -90,14 +90,14 @@
                 try (StubServer.Client waiting = fixture.client()) {
                     waiting.send(SidecarFixture.get("waiting", 30_000));
                     fixture.sidecar.shutDownGracefully(stopped::countDown);
-                    assertTrue(firstIdle.ended());
-                    assertTrue(secondIdle.ended());
-                    assertEquals("waiting", waiting.answer().body());
+                    assertTrue(firstIdle.isClosedBySidecar());
+                    assertTrue(secondIdle.isClosedBySidecar());
+                    assertEquals("waiting", waiting.readResponse().body());
                 }
             }
             released.countDown();
             for (int i = 0; i < held.length; i++) {
-                assertEquals("held" + i, held[i].answer().body());
+                assertEquals("held" + i, held[i].readResponse().body());
                 held[i].close();
             }
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
@@ -153,13 +153,13 @@
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = fixture.client();
                 clients[i].send(SidecarFixture.get("c" + i, 30_000));
-                String connectionHeader = clients[i].answer().header("Connection");
+                String connectionHeader = clients[i].readResponse().header("Connection");
                 assertEquals(i < 120 / 12 ? null : "close", connectionHeader, "connection " + i);
             }
-            assertTrue(clients[clients.length - 1].ended());
+            assertTrue(clients[clients.length - 1].isClosedBySidecar());
             // A connection that is used again, or is closed, is no idle one.
             clients[0].send(SidecarFixture.get("again", 30_000));
-            assertEquals(null, clients[0].answer().header("Connection"));
+            assertEquals(null, clients[0].readResponse().header("Connection"));
             closeAll(clients);
         }
     }
@@ -177,7 +177,7 @@
                 clients[i].send(SidecarFixture.get("c" + i, 30_000));
                 assertEquals(200, clients[i].status());
             }
-            assertEquals(null, clients[0].answer());
+            assertEquals(null, clients[0].readResponse());
             closeAll(clients);
         }
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -69,7 +69,7 @@
     private static CountDownLatch blockEventLoop(SidecarFixture fixture) throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch unblocked = new CountDownLatch(1);
-        fixture.eventLoop.eventLoop().execute(() -> {
+        fixture.eventLoop.nettyEventLoop().execute(() -> {
             blocked.countDown();
             awaitUninterruptibly(unblocked);
         });
@@ -86,7 +86,7 @@
             assertTrue(
                     remainingMicrosOf(fixture, "before", LONG_DEADLINE_MILLIS) > (LONG_DEADLINE_MILLIS - 100) * 1000);
             fixture.eventLoop
-                    .eventLoop()
+                    .nettyEventLoop()
                     .submit(() -> fixture.eventLoop.recordLag(1_000_000))
                     .sync();
             long afterLag = remainingMicrosOf(fixture, "after", LONG_DEADLINE_MILLIS);
--- a/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
@@ -18,7 +18,8 @@
         JsonObject json = parse(
                 " {\n \"a\" : {\"b\":[1,-2.5e1,\"x\\u00e9\",true,null,[]]}, \"n\":null, \"big\":9007199254740993,\n"
                         + "\"list\":[{\"i\":1},{\"i\":2}],\"flag\":false,\"texts\":[\"p\",\"q\"]}");
-        assertEquals("1,-25.0,x\u00e9,true,null,[]", json.object("a").flat().get("b"));
+        assertEquals(
+                "1,-25.0,x\u00e9,true,null,[]", json.object("a").flattened().get("b"));
         assertFalse(json.has("n"));
         assertEquals(9_007_199_254_740_993L, json.number("big"));
         assertEquals(
@@ -28,7 +29,7 @@
                         .toList());
         assertFalse(json.flag("flag"));
         assertEquals(List.of("p", "q"), json.textsOrNone("texts"));
-        assertEquals("2", json.flat().get("list.count"));
+        assertEquals("2", json.flattened().get("list.count"));
     }
 
     /** Callers handle one type of exception, wherever a text is cut off. */
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -98,7 +98,7 @@
             int waitParameter = path.indexOf(WAIT_PARAMETER);
             if (waitParameter >= 0) {
                 StubServer.sleep(Long.parseLong(path.substring(waitParameter + WAIT_PARAMETER.length())));
-                connection.answer("200 OK", "", list(41, false));
+                connection.respond("200 OK", "", list(41, false));
             }
         });
     }
--- a/src/test/java/loadbalancer/proxy/testing/StubServer.java
+++ b/src/test/java/loadbalancer/proxy/testing/StubServer.java
@@ -29,12 +29,12 @@
 
     /** Answers every request with 200 and this body. */
     public static Script respondingWith(String body) {
-        return (request, connection) -> connection.answer("200 OK", "", body);
+        return (request, connection) -> connection.respond("200 OK", "", body);
     }
 
     /** Answers every request with 200 and the request's identifier as the body. */
     public static Script echoingRequestId() {
-        return (request, connection) -> connection.answer("200 OK", "", request.header("X-Txn"));
+        return (request, connection) -> connection.respond("200 OK", "", request.header("X-Txn"));
     }
 
     /** Blocks the script of a connection for a time. */
@@ -79,7 +79,7 @@
             socket.getOutputStream().flush();
         }
 
-        public void answer(String status, String headers, String body) throws IOException {
+        public void respond(String status, String headers, String body) throws IOException {
             write("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
@@ -185,12 +185,12 @@
         }
 
         /** The next response; null where the connection is closed without one. */
-        public Message answer() throws IOException {
+        public Message readResponse() throws IOException {
             return read(socket.getInputStream());
         }
 
         /** Waits until the sidecar has closed the connection; false where it sends something first. */
-        public boolean ended() throws IOException {
+        public boolean isClosedBySidecar() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
             } catch (SocketException e) {
@@ -201,7 +201,7 @@
 
         /** The status of the next response; -1 where the connection is closed without one. */
         public int status() throws IOException {
-            Message response = answer();
+            Message response = readResponse();
             return response == null ? -1 : Integer.parseInt(response.head.split(" ")[1]);
         }
 
--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -48,7 +48,7 @@
                 "OK true 7.0",
                 200,
                 (request, connection) ->
-                        connection.answer("200 OK", "X-Pressure: TEXT inflight=7, queue=2, util=0.61\r\n", "slot"));
+                        connection.respond("200 OK", "X-Pressure: TEXT inflight=7, queue=2, util=0.61\r\n", "slot"));
     }
 
     @Test
@@ -59,7 +59,7 @@
             assertOutcome(
                     "OK true -",
                     200,
-                    (request, connection) -> connection.answer("200 OK", "X-Pressure: " + report + "\r\n", "slot"));
+                    (request, connection) -> connection.respond("200 OK", "X-Pressure: " + report + "\r\n", "slot"));
         }
     }
 
@@ -68,17 +68,17 @@
         assertOutcome(
                 "REJECTED false -",
                 502,
-                (request, connection) -> connection.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
+                (request, connection) -> connection.respond("503 Busy", "X-Turned-Away: 1\r\n", ""));
         assertOutcome(
                 "REJECTED false -",
                 502,
-                (request, connection) -> connection.answer("504 Late", "X-Turned-Away: 1\r\n", ""));
-        assertOutcome("ERROR false -", 502, (request, connection) -> connection.answer("503 Busy", "", ""));
+                (request, connection) -> connection.respond("504 Late", "X-Turned-Away: 1\r\n", ""));
+        assertOutcome("ERROR false -", 502, (request, connection) -> connection.respond("503 Busy", "", ""));
         assertOutcome(
                 "ERROR false -",
                 502,
-                (request, connection) -> connection.answer("500 Oops", "X-Turned-Away: 1\r\n", ""));
-        assertOutcome("ERROR false -", 502, (request, connection) -> connection.answer("302 Found", "", ""));
+                (request, connection) -> connection.respond("500 Oops", "X-Turned-Away: 1\r\n", ""));
+        assertOutcome("ERROR false -", 502, (request, connection) -> connection.respond("302 Found", "", ""));
     }
 
     @Test
@@ -143,7 +143,7 @@
                 StubServer server = fixture.endpointServers.get(0);
                 for (String id : new String[] {"a1", "a2", "a3"}) {
                     client.send(SidecarFixture.get(id, 20_000));
-                    assertEquals(id, client.answer().body());
+                    assertEquals(id, client.readResponse().body());
                 }
                 assertEquals(3, server.accepted.size(), "a connection with unread bytes was reused");
             }
@@ -154,9 +154,9 @@
     @Test
     void aRequestFoundInvalidIsNoError() throws Exception {
         assertOutcome(
-                "INVALID_REQUEST false -", 502, (request, connection) -> connection.answer("400 Bad Request", "", ""));
+                "INVALID_REQUEST false -", 502, (request, connection) -> connection.respond("400 Bad Request", "", ""));
         assertOutcome(
-                "INVALID_REQUEST false -", 502, (request, connection) -> connection.answer("404 Not Found", "", ""));
+                "INVALID_REQUEST false -", 502, (request, connection) -> connection.respond("404 Not Found", "", ""));
     }
 
     /** Slow is not malformed: the pauses between the pieces exceed the stall timeout together, none does alone. */
@@ -175,7 +175,7 @@
         assertOutcome("OK true -", 200, (request, connection) -> {
             connection.write("HTTP/1.1 100 Continue\r\n\r\n");
             connection.write("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-            connection.answer("200 OK", "", "slot");
+            connection.respond("200 OK", "", "slot");
         });
     }
 
@@ -200,10 +200,10 @@
             assertEquals("outcome a1 0 TIMEOUT false -", fixture.await("outcome"));
             assertEquals(-1, server.accepted.take().getInputStream().read(), "the connection was left open");
             assertEquals(502, client.status());
-            server.script = (request, connection) -> connection.answer("200 OK", "", "fresh");
+            server.script = (request, connection) -> connection.respond("200 OK", "", "fresh");
             fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
             client.send(SidecarFixture.get("a2", 20_000));
-            assertEquals("fresh", client.answer().body());
+            assertEquals("fresh", client.readResponse().body());
             assertNotNull(server.accepted.poll(20, TimeUnit.SECONDS));
         }
     }
@@ -227,7 +227,7 @@
         Set<Socket> usedSockets = ConcurrentHashMap.newKeySet();
         try (SidecarFixture fixture = started((request, connection) -> {
                     if (usedSockets.add(connection.socket())) {
-                        connection.answer("200 OK", "", "one");
+                        connection.respond("200 OK", "", "one");
                     } else {
                         connection.reset();
                     }
@@ -252,7 +252,7 @@
     @Test
     void aConnectionThatTheEndpointClosesIsNotReused() throws Exception {
         try (SidecarFixture fixture =
-                        started((request, connection) -> connection.answer("200 OK", "Connection: close\r\n", "one"));
+                        started((request, connection) -> connection.respond("200 OK", "Connection: close\r\n", "one"));
                 StubServer.Client client = fixture.client()) {
             StubServer server = fixture.endpointServers.get(0);
             for (String id : new String[] {"a1", "a2"}) {
@@ -267,22 +267,22 @@
     @Test
     void aLargeResponsePasses() throws Exception {
         try (SidecarFixture fixture =
-                        started((request, connection) -> connection.answer("200 OK", "", "z".repeat(400_000)));
+                        started((request, connection) -> connection.respond("200 OK", "", "z".repeat(400_000)));
                 StubServer.Client client = fixture.client()) {
             client.send(SidecarFixture.get("a1", 20_000));
-            assertEquals(400_000, client.answer().body().length());
+            assertEquals(400_000, client.readResponse().body().length());
         }
     }
 
     @Test
     void requestAndResponsePassUnchanged() throws Exception {
         try (SidecarFixture fixture = started((request, connection) ->
-                        connection.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
+                        connection.respond("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
                 StubServer.Client client = fixture.client()) {
             StubServer server = fixture.endpointServers.get(0);
             client.send("POST /api/x?y=%20z HTTP/1.1\r\nHost: a\r\nX-Txn: q7\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\n"
                     + "Idempotency-Key: k9\r\nContent-Length: 5\r\n\r\nh\u00e9llo");
-            StubServer.Message response = client.answer();
+            StubServer.Message response = client.readResponse();
             assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), response.body());
             StubServer.Message sent = server.next();
             assertTrue(sent.head().startsWith("POST /api/x?y=%20z HTTP/1.1\r\n"), sent.head());
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -33,11 +33,11 @@
     private static final long NO_REUSE_DELAY = 0;
 
     private static final StubServer.Script SILENT = (request, connection) -> {};
-    private static final StubServer.Script RESPONDS = (request, connection) -> connection.answer("200 OK", "", "body");
+    private static final StubServer.Script RESPONDS = (request, connection) -> connection.respond("200 OK", "", "body");
 
     private final MonotonicClock clock = new MonotonicClock();
     private final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(clock);
-    private final EventLoop loop = eventLoop.eventLoop();
+    private final EventLoop loop = eventLoop.nettyEventLoop();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
     @AfterEach
@@ -187,7 +187,7 @@
     @Test
     void failedConnectionsDoNotCount() throws Exception {
         try (StubServer server = new StubServer(
-                        (request, connection) -> connection.answer("200 OK", "Connection: close\r\n", ""));
+                        (request, connection) -> connection.respond("200 OK", "Connection: close\r\n", ""));
                 StubServer gone = new StubServer(SILENT)) {
             gone.close();
             UpstreamConnectionPool pool = newPool(IDLE_MICROS, 1);
@@ -219,7 +219,7 @@
     @Test
     void aConnectionClosedWhileIdleIsNotReused() throws Exception {
         try (StubServer server = new StubServer((request, connection) -> {
-            connection.answer("200 OK", "", "sent");
+            connection.respond("200 OK", "", "sent");
             connection.socket().close();
         })) {
             UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
@@ -244,10 +244,10 @@
         try (StubServer server = new StubServer((request, connection) -> {
             connections.add(connection);
             if (connections.size() == 1) {
-                connection.answer("200 OK", "", "first");
+                connection.respond("200 OK", "", "first");
             } else {
-                connections.peek().answer("200 OK", "", "first");
-                connection.answer("500 Own", "", "");
+                connections.peek().respond("200 OK", "", "first");
+                connection.respond("500 Own", "", "");
             }
         })) {
             UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100, HOUR_MICROS);
