--- a/src/main/java/loadbalancer/decision/RetryEligibility.java
+++ b/src/main/java/loadbalancer/decision/AttemptEligibility.java
@@ -8,11 +8,11 @@
  * here. A request that may have run is sent again only where that has no second effect, and is never rejected, since a
  * rejection promises that nothing has run.
  */
-final class RetryEligibility {
+final class AttemptEligibility {
     private final PolicySettings settings;
     private final SlowStartBudget slowStartBudget;
 
-    RetryEligibility(PolicySettings settings, SlowStartBudget slowStartBudget) {
+    AttemptEligibility(PolicySettings settings, SlowStartBudget slowStartBudget) {
         this.settings = settings;
         this.slowStartBudget = slowStartBudget;
     }
--- a/src/main/java/loadbalancer/decision/AttemptSender.java
+++ b/src/main/java/loadbalancer/decision/AttemptSender.java
@@ -2,7 +2,7 @@
 
 /** Sends attempts and notifies the parts that keep account of them. */
 final class AttemptSender {
-    private final RetryEligibility retries;
+    private final AttemptEligibility eligibility;
     private final AttemptForecaster forecaster;
     private final InFlightAttempts attempts;
     private final SlowStartBudget slowStartBudget;
@@ -11,14 +11,14 @@
     private final LoadBalancerActions actions;
 
     AttemptSender(
-            RetryEligibility retries,
+            AttemptEligibility eligibility,
             AttemptForecaster forecaster,
             InFlightAttempts attempts,
             SlowStartBudget slowStartBudget,
             IdleConnectionPolicy idleConnections,
             OverdueAttemptTimer overdueTimer,
             LoadBalancerActions actions) {
-        this.retries = retries;
+        this.eligibility = eligibility;
         this.forecaster = forecaster;
         this.attempts = attempts;
         this.slowStartBudget = slowStartBudget;
@@ -33,7 +33,7 @@
      * @throws IllegalStateException if the rules forbid it
      */
     void send(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
-        if (!retries.maySend(nowMicros, request, endpoint)) {
+        if (!eligibility.maySend(nowMicros, request, endpoint)) {
             throw new IllegalStateException("the rules forbid sending " + request.id() + " to " + endpoint.id());
         }
         AttemptForecast forecast = forecaster.forecast(nowMicros, request, endpoint);
--- a/src/main/java/loadbalancer/decision/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -6,7 +6,7 @@
  * Decides when discovery is polled for the endpoint list: at the start, and again after each failed call, with a
  * jittered, exponentially growing delay, until a list arrives. Does nothing where lists are pushed.
  */
-final class DiscoveryBackoff {
+final class DiscoveryPoller {
     private static final long FIRST_DELAY_MICROS = 500_000;
     /**
      * Bound on the delay before its jitter of up to half. The first successful call has to come within 6 s after
@@ -21,7 +21,7 @@
     private boolean pollInProgress;
     private long delayMicros = FIRST_DELAY_MICROS;
 
-    DiscoveryBackoff(PolicySettings settings, LoadBalancerActions actions, SplittableRandom random) {
+    DiscoveryPoller(PolicySettings settings, LoadBalancerActions actions, SplittableRandom random) {
         this.settings = settings;
         this.actions = actions;
         this.random = random;
--- a/src/main/java/loadbalancer/decision/EndpointAvailability.java
+++ b/src/main/java/loadbalancer/decision/EndpointAvailability.java
@@ -13,7 +13,7 @@
 
     private final PolicySettings settings;
     private final OutlierDetector outliers;
-    private final RetryEligibility retries;
+    private final AttemptEligibility eligibility;
     private final SlowStart slowStart;
     private final LoadEstimator loads;
     private final SpeedEstimator speeds;
@@ -21,13 +21,13 @@
     EndpointAvailability(
             PolicySettings settings,
             OutlierDetector outliers,
-            RetryEligibility retries,
+            AttemptEligibility eligibility,
             SlowStart slowStart,
             LoadEstimator loads,
             SpeedEstimator speeds) {
         this.settings = settings;
         this.outliers = outliers;
-        this.retries = retries;
+        this.eligibility = eligibility;
         this.slowStart = slowStart;
         this.loads = loads;
         this.speeds = speeds;
@@ -35,7 +35,7 @@
 
     /** Whether the endpoint is healthy, may be sent the request and has the room that is needed. */
     boolean canTake(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
-        if (!outliers.isAvailable(endpoint, nowMicros) || !retries.maySend(nowMicros, request, endpoint)) {
+        if (!outliers.isAvailable(endpoint, nowMicros) || !eligibility.maySend(nowMicros, request, endpoint)) {
             return false;
         }
         double capacityRatio = slowStart.capacityRatio(endpoint, nowMicros);
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -10,7 +10,7 @@
  *
  * <p>{@link RoutingTable} splits the fleet's request rate over the machine types by Eq. (4), {@link EndpointSelector}
  * draws two endpoints from it and takes the less loaded one, {@link RequestScheduler} queues requests for which no
- * endpoint has room, and {@link RetryEligibility} checks every send and rejection.
+ * endpoint has room, and {@link AttemptEligibility} checks every send and rejection.
  */
 public final class LoadBalancingPolicy implements LoadBalancer {
     private final Estimators estimators;
@@ -23,10 +23,10 @@
     private final HealthCheckOutcomeHandler healthCheckOutcomeHandler;
     private final GossipSender gossipSender;
     private final GossipReceiver gossipReceiver;
-    private final DiscoveryBackoff discovery;
+    private final DiscoveryPoller discovery;
     // Package-private for the tests.
     final EndpointRegistry endpoints;
-    final RetryEligibility retries;
+    final AttemptEligibility eligibility;
     final RequestTracker requests;
 
     /**
@@ -42,7 +42,7 @@
         endpoints = routing.registry;
         subset = routing.subset;
         RequestHandling handling = new RequestHandling(estimators, routing, random, actions, nowMicros);
-        retries = handling.retries;
+        eligibility = handling.eligibility;
         requests = handling.requests;
         admission = handling.admission;
         routingRefresher = handling.routingRefresher;
@@ -52,7 +52,7 @@
         healthCheckOutcomeHandler = handling.healthCheckOutcomeHandler;
         gossipSender = new GossipSender(estimators.settings, random, actions, estimators.rates, routing);
         gossipReceiver = new GossipReceiver(estimators.settings, estimators.gossip, endpoints, routing.idleConnections);
-        discovery = new DiscoveryBackoff(estimators.settings, actions, random);
+        discovery = new DiscoveryPoller(estimators.settings, actions, random);
         apply(initialSettings);
         routingRefresher.invalidate(nowMicros);
         discovery.start();
--- a/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
+++ b/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
@@ -6,18 +6,18 @@
     private static final double RECHECK_RATIO = 0.5;
 
     private final PolicySettings settings;
-    private final RetryEligibility retries;
+    private final AttemptEligibility eligibility;
     private final LoadBalancerActions actions;
 
-    OverdueAttemptTimer(PolicySettings settings, RetryEligibility retries, LoadBalancerActions actions) {
+    OverdueAttemptTimer(PolicySettings settings, AttemptEligibility eligibility, LoadBalancerActions actions) {
         this.settings = settings;
-        this.retries = retries;
+        this.eligibility = eligibility;
         this.actions = actions;
     }
 
     /** Starts the timer of a new attempt, unless a second attempt would not be allowed. */
     void start(long nowMicros, Attempt attempt) {
-        if (settings.hedgesRequests() && retries.isRepeatable(attempt, attempt.endpoint(), nowMicros)) {
+        if (settings.hedgesRequests() && eligibility.isRepeatable(attempt, attempt.endpoint(), nowMicros)) {
             startTimer(attempt, Attempt.OVERDUE_RATIO);
         }
     }
--- a/src/main/java/loadbalancer/decision/RequestHandling.java
+++ b/src/main/java/loadbalancer/decision/RequestHandling.java
@@ -4,7 +4,7 @@
 
 /** Wires the parts that decide on requests from their admission to their final response. */
 final class RequestHandling {
-    final RetryEligibility retries;
+    final AttemptEligibility eligibility;
     final RequestTracker requests;
     final AdmissionControl admission;
     final RoutingRefresher routingRefresher;
@@ -28,20 +28,20 @@
         PolicySettings settings = estimators.settings;
         SlowStartBudget budget =
                 new SlowStartBudget(settings, estimators.slowStart, estimators.work, estimators.rates, routing.table);
-        retries = new RetryEligibility(settings, budget);
+        eligibility = new AttemptEligibility(settings, budget);
         RequestQueue queue = new RequestQueue(settings, routing.table, actions);
-        requests = new RequestTracker(settings, estimators.work, queue, retries, actions);
+        requests = new RequestTracker(settings, estimators.work, queue, eligibility, actions);
         admission = new AdmissionControl(settings, random, routing.fleetLoad, routing.table);
         EstimateLog log = new EstimateLog(actions, estimators, routing, queue, nowMicros);
         routingRefresher = new RoutingRefresher(estimators.rates, log, routing.outliers, routing.subset, routing.table);
         availability = new EndpointAvailability(
-                settings, routing.outliers, retries, estimators.slowStart, estimators.loads, estimators.speeds);
+                settings, routing.outliers, eligibility, estimators.slowStart, estimators.loads, estimators.speeds);
         PowerOfTwoSelector powerOfTwo = new PowerOfTwoSelector(settings, random, availability, estimators.loads);
         LoadReportHandler reportHandler = new LoadReportHandler(routing.registry, estimators.loads);
         EndpointSelector selector = selector(random, reportHandler, powerOfTwo);
-        OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, retries, actions);
+        OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, eligibility, actions);
         AttemptSender sender = sender(budget, overdueTimer, actions);
-        scheduler = new RequestScheduler(settings, routing.registry, queue, selector, sender, requests, retries);
+        scheduler = new RequestScheduler(settings, routing.registry, queue, selector, sender, requests, eligibility);
         hedging = new HedgingPolicy(
                 routing.table, routingRefresher, routing.healthChecks, powerOfTwo, sender, overdueTimer, actions);
         attemptOutcomeHandler = attemptOutcomeHandler(reportHandler);
@@ -73,7 +73,7 @@
             SlowStartBudget budget, OverdueAttemptTimer overdueTimer, LoadBalancerActions actions) {
         AttemptForecaster forecaster = new AttemptForecaster(estimators.loads, routing.fleetLoad, estimators.speeds);
         return new AttemptSender(
-                retries, forecaster, estimators.attempts, budget, routing.idleConnections, overdueTimer, actions);
+                eligibility, forecaster, estimators.attempts, budget, routing.idleConnections, overdueTimer, actions);
     }
 
     private AttemptOutcomeHandler attemptOutcomeHandler(LoadReportHandler reportHandler) {
--- a/src/main/java/loadbalancer/decision/RequestScheduler.java
+++ b/src/main/java/loadbalancer/decision/RequestScheduler.java
@@ -8,7 +8,7 @@
     private final EndpointSelector selector;
     private final AttemptSender sender;
     private final RequestTracker requests;
-    private final RetryEligibility retries;
+    private final AttemptEligibility eligibility;
 
     RequestScheduler(
             PolicySettings settings,
@@ -17,14 +17,14 @@
             EndpointSelector selector,
             AttemptSender sender,
             RequestTracker requests,
-            RetryEligibility retries) {
+            AttemptEligibility eligibility) {
         this.settings = settings;
         this.registry = registry;
         this.queue = queue;
         this.selector = selector;
         this.sender = sender;
         this.requests = requests;
-        this.retries = retries;
+        this.eligibility = eligibility;
     }
 
     /** Sends an admitted request, or queues it. Other requests in the queue go first, unless loads are sampled. */
@@ -56,7 +56,7 @@
 
     private boolean maySendAnywhere(long nowMicros, PendingRequest request) {
         for (TrackedEndpoint endpoint : registry.ready()) {
-            if (retries.maySend(nowMicros, request, endpoint)) {
+            if (eligibility.maySend(nowMicros, request, endpoint)) {
                 return true;
             }
         }
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -9,7 +9,7 @@
     private final PolicySettings settings;
     private final WorkEstimator work;
     private final RequestQueue queue;
-    private final RetryEligibility retries;
+    private final AttemptEligibility eligibility;
     private final LoadBalancerActions actions;
     private final Map<String, PendingRequest> pending = new HashMap<>();
 
@@ -17,12 +17,12 @@
             PolicySettings settings,
             WorkEstimator work,
             RequestQueue queue,
-            RetryEligibility retries,
+            AttemptEligibility eligibility,
             LoadBalancerActions actions) {
         this.settings = settings;
         this.work = work;
         this.queue = queue;
-        this.retries = retries;
+        this.eligibility = eligibility;
         this.actions = actions;
     }
 
@@ -66,7 +66,7 @@
 
     /** Ends a request that can't be served in time: rejects it where no endpoint can have run it, else fails it. */
     void rejectOrFail(PendingRequest request) {
-        if (!retries.mayReject(request)) {
+        if (!eligibility.mayReject(request)) {
             fail(request);
             return;
         }
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -105,7 +105,7 @@
             return;
         }
         // If the event loop is late, the bytes arrived before they were read.
-        long sentMicros = activity.lastActivityMicros() - eventLoop.lateMicros();
+        long sentMicros = activity.lastActivityMicros() - eventLoop.currentLagMicros();
         pipelinedRequests.add(new ReceivedRequest(request, sentMicros, activity.requestBacklogWaitMicros()));
         activity.requestReceived();
         handlePipelinedRequests();
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -33,7 +33,7 @@
      */
     private static final int MAX_POSTPONEMENTS = 2;
     /** A smaller delay is within the normal inaccuracy of timers and counts as none. */
-    private static final long MIN_LATE_MICROS = 20_000;
+    private static final long MIN_LAG_MICROS = 20_000;
     /** The recent lag decreases by this fraction with each {@link #recordLag}: by half after about twenty calls. */
     private static final int LAG_DECAY_DIVISOR = 32;
 
@@ -112,12 +112,12 @@
      * By how many microseconds the loop is late for its timers; 0 if it is in time. Data that is read now may have
      * waited in its socket for this long, which can't be found out from the socket.
      */
-    public long lateMicros() {
+    public long currentLagMicros() {
         if (wakeUpDeadlineNanos == NO_DEADLINE) {
             return 0;
         }
-        long lateMicros = (loop.ticker().nanoTime() - wakeUpDeadlineNanos) / 1000;
-        return lateMicros < MIN_LATE_MICROS ? 0 : lateMicros;
+        long lagMicros = (loop.ticker().nanoTime() - wakeUpDeadlineNanos) / 1000;
+        return lagMicros < MIN_LAG_MICROS ? 0 : lagMicros;
     }
 
     /** Records by how much a periodic task ran late. Must be called by one periodic task, on each run. */
--- a/src/test/java/loadbalancer/decision/RetryEligibilityTest.java
+++ b/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which requests may be retried, and to which endpoints. */
-class RetryEligibilityTest {
+class AttemptEligibilityTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
--- a/src/test/java/loadbalancer/decision/DiscoveryBackoffTest.java
+++ b/src/test/java/loadbalancer/decision/DiscoveryPollerTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Polled discovery is called at once, and again with backoff after failures. */
-class DiscoveryBackoffTest {
+class DiscoveryPollerTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
 
     @Test
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -328,7 +328,8 @@
 
     /** Whether the rules allow an attempt of the waiting or running request at the endpoint now. */
     boolean maySend(String requestId, String endpointId) {
-        return policy.retries.maySend(nowMicros, policy.requests.find(requestId), policy.endpoints.find(endpointId));
+        return policy.eligibility.maySend(
+                nowMicros, policy.requests.find(requestId), policy.endpoints.find(endpointId));
     }
 
     /** How many endpoints are remembered. */
