--- a/src/main/java/loadbalancer/decision/RetryEligibility.java
+++ b/src/main/java/loadbalancer/decision/AttemptEligibility.java
@@ -8,11 +8,11 @@
  * here. A request that may have run is sent again only where that has no second effect, and is never rejected, since a
  * rejection promises that nothing has run.
  */
-final class RetryEligibility {
+final class AttemptEligibility {
     private final PolicySettings settings;
     private final SlowStartBudget slowStartBudget;
 
-    RetryEligibility(PolicySettings settings, SlowStartBudget slowStartBudget) {
+    AttemptEligibility(PolicySettings settings, SlowStartBudget slowStartBudget) {
         this.settings = settings;
         this.slowStartBudget = slowStartBudget;
     }
@@ -56,8 +56,8 @@
                 || arrivalMicros - earlier.sentMicros() >= requestClass.deduplicationWindowMicros()) {
             return false;
         }
-        Endpoint before = earlier.listing();
-        Endpoint after = endpoint.listing();
+        Endpoint before = earlier.listEntry();
+        Endpoint after = endpoint.listEntry();
         return switch (requestClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> after.zone().equals(before.zone());
--- a/src/main/java/loadbalancer/decision/EndpointAvailability.java
+++ b/src/main/java/loadbalancer/decision/EndpointAvailability.java
@@ -13,7 +13,7 @@
 
     private final PolicySettings settings;
     private final OutlierDetector outliers;
-    private final RetryEligibility retries;
+    private final AttemptEligibility eligibility;
     private final SlowStart slowStart;
     private final LoadEstimator loads;
     private final SpeedEstimator speeds;
@@ -21,21 +21,21 @@
     EndpointAvailability(
             PolicySettings settings,
             OutlierDetector outliers,
-            RetryEligibility retries,
+            AttemptEligibility eligibility,
             SlowStart slowStart,
             LoadEstimator loads,
             SpeedEstimator speeds) {
         this.settings = settings;
         this.outliers = outliers;
-        this.retries = retries;
+        this.eligibility = eligibility;
         this.slowStart = slowStart;
         this.loads = loads;
         this.speeds = speeds;
     }
 
     /** Whether the endpoint is healthy, may be sent the request and has the room that is needed. */
-    boolean hasRoom(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
-        if (!outliers.isAvailable(endpoint, nowMicros) || !retries.maySend(nowMicros, request, endpoint)) {
+    boolean canTake(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
+        if (!outliers.isAvailable(endpoint, nowMicros) || !eligibility.maySend(nowMicros, request, endpoint)) {
             return false;
         }
         double capacityRatio = slowStart.capacityRatio(endpoint, nowMicros);
@@ -48,12 +48,12 @@
         if (load + 1 > Math.max(1, LoadEstimator.maxLoad(cores)) + tolerance) {
             return false;
         }
-        boolean idle = !settings.localLoadIsSmallPart() && load < IDLE_LOAD && capacityRatio >= 1;
-        return idle || answersInTime(nowMicros, request, endpoint, load);
+        boolean idle = !settings.localLoadIsUnrepresentative() && load < IDLE_LOAD && capacityRatio >= 1;
+        return idle || respondsInTime(nowMicros, request, endpoint, load);
     }
 
-    private boolean answersInTime(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, double load) {
-        double expectedMicros = speeds.expectedMicros(endpoint, request.workMicros(), load, nowMicros);
-        return nowMicros + expectedMicros <= request.usefulUntilMicros();
+    private boolean respondsInTime(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, double load) {
+        double expectedResponseMicros = speeds.expectedResponseMicros(endpoint, request.workMicros(), load, nowMicros);
+        return nowMicros + expectedResponseMicros <= request.usefulUntilMicros();
     }
 }
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -32,7 +32,7 @@
     private final EndpointRegistry registry;
     private final RequestRateEstimator rates;
     private final ZoneShares zoneShares;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private List<TrackedEndpoint> members = List.of();
     private long updatedMicros;
     private double wantedSize;
@@ -57,7 +57,7 @@
             EndpointRegistry registry,
             RequestRateEstimator rates,
             ZoneShares zoneShares,
-            IdleConnectionGuard idleConnections) {
+            IdleConnectionPolicy idleConnections) {
         this.settings = settings;
         this.registry = registry;
         this.rates = rates;
@@ -90,9 +90,9 @@
         Map<ZoneAndType, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
         for (TrackedEndpoint endpoint : registry.ready()) {
             ZoneAndType key =
-                    new ZoneAndType(endpoint.zone(), endpoint.listing().machineType());
+                    new ZoneAndType(endpoint.zoneIndex(), endpoint.listEntry().machineType());
             groups.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
-            zoneSizes[endpoint.zone()]++;
+            zoneSizes[endpoint.zoneIndex()]++;
         }
         List<TrackedEndpoint> chosen = new ArrayList<>();
         for (Map.Entry<ZoneAndType, List<TrackedEndpoint>> group : groups.entrySet()) {
@@ -105,7 +105,7 @@
     /** The size wanted now; remembers it, so that it can shrink slowly. */
     private double size() {
         double ready = registry.ready().size();
-        double arc = RateMath.divide(
+        double arc = RateMath.safeDivide(
                 PolicySettings.SIDECARS_PER_ENDPOINT * ready * rates.localPerSecond(), rates.fleetPerSecond());
         wantedSize = Math.max(Math.max(MIN_SIZE, arc), SHRINK_RATIO * wantedSize);
         if (!idleConnections.hasLimit()) {
@@ -121,7 +121,7 @@
             List<TrackedEndpoint> group, int zone, double size, int zoneSize, List<TrackedEndpoint> chosen) {
         double share = zoneShares.share(zone) * size * group.size() / zoneSize;
         double rounded = Math.floor(share + settings.sidecarIndex() * ROUNDING_STEP % 1);
-        double count = Math.max(zone == settings.localZone() ? 1 : 0, rounded);
+        double count = Math.max(zone == settings.localZoneIndex() ? 1 : 0, rounded);
         int start = (int) (settings.sidecarIndex() * GOLDEN_SECTION % 1 * group.size());
         for (int i = 0; i < Math.min(count, group.size()); i++) {
             chosen.add(group.get((i + start) % group.size()));
--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -12,13 +12,13 @@
     private final PolicySettings settings;
     private final GossipState gossip;
     private final EndpointRegistry registry;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
 
     GossipReceiver(
             PolicySettings settings,
             GossipState gossip,
             EndpointRegistry registry,
-            IdleConnectionGuard idleConnections) {
+            IdleConnectionPolicy idleConnections) {
         this.settings = settings;
         this.gossip = gossip;
         this.registry = registry;
@@ -29,15 +29,15 @@
     void onMessage(long nowMicros, int sidecarIndex, byte[] bytes) {
         List<String> machineTypes = settings.current().machineTypes();
         GossipMessage message = isPeer(sidecarIndex) ? GossipMessage.decode(bytes, machineTypes.size()) : null;
-        if (message == null || message.zone() >= gossip.zoneCount()) {
+        if (message == null || message.zoneIndex() >= gossip.zoneCount()) {
             return;
         }
         double ratePerSecond = plausibleRate(message.ratePerSecond());
         double inFlight = plausibleInFlight(message.inFlight(), ratePerSecond);
-        gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zone(), nowMicros));
+        gossip.record(sidecarIndex, new GossipPeer(ratePerSecond, inFlight, message.zoneIndex(), nowMicros));
         for (int i = 0; i < machineTypes.size(); i++) {
             registry.machineType(machineTypes.get(i))
-                    .blend(message.machineTypes().get(i));
+                    .mergePeerEstimate(message.machineTypes().get(i));
         }
         if (message.idleLimitMicros() > 0) {
             idleConnections.lowerLimit(nowMicros, message.idleLimitMicros());
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -16,8 +16,6 @@
     private static final int PRICED_BYTES = 256;
     /** Most messages to single sidecars in one interval. */
     private static final int MAX_DATAGRAMS = 16;
-    /** Receiver index of a message to all other sidecars. */
-    private static final int ALL_SIDECARS = -1;
 
     private final PolicySettings settings;
     private final SplittableRandom random;
@@ -25,7 +23,7 @@
     private final EndpointRegistry registry;
     private final RequestRateEstimator rates;
     private final FleetLoadEstimator fleetLoad;
-    private final IdleConnectionGuard idleConnections;
+    private final IdleConnectionPolicy idleConnections;
     private boolean timerRunning;
 
     GossipSender(
@@ -62,7 +60,7 @@
         int peers = settings.sidecarCount() - 1;
         double affordable = affordableMessages(bytes.length);
         if (affordable >= peers) {
-            actions.sendGossip(ALL_SIDECARS, bytes);
+            actions.sendGossip(LoadBalancerActions.ALL_SIDECARS, bytes);
         } else {
             sendToSome(Math.max(1, Math.min(MAX_DATAGRAMS, (int) affordable)), bytes);
         }
@@ -75,11 +73,11 @@
             samples.add(registry.machineType(name).sample());
         }
         return new GossipMessage(
-                settings.localZone(),
+                settings.localZoneIndex(),
                 rates.localPerSecond(),
                 fleetLoad.localInFlight(nowMicros),
                 samples,
-                idleConnections.locallySeenLimitMicros(nowMicros));
+                idleConnections.locallyObservedLimitMicros(nowMicros));
     }
 
     /** Messages that this sidecar can afford in an interval; each sidecar gets an equal part of the fleet's budget. */
@@ -87,7 +85,7 @@
         double price = settings.prices().gossip() * bytes / PRICED_BYTES;
         double pricePerSecond = price * RateMath.MICROS_PER_SECOND / INTERVAL_MICROS;
         double budgetPerSecond = MAX_TOTAL_PRICE * rates.fleetPerSecond() / settings.sidecarCount();
-        return RateMath.divide(budgetPerSecond, pricePerSecond);
+        return RateMath.safeDivide(budgetPerSecond, pricePerSecond);
     }
 
     private void sendToSome(int messages, byte[] bytes) {
--- a/src/main/java/loadbalancer/decision/RequestHandling.java
+++ b/src/main/java/loadbalancer/decision/RequestHandling.java
@@ -4,14 +4,14 @@
 
 /** Wires the parts that decide on requests from their admission to their final response. */
 final class RequestHandling {
-    final RetryEligibility retries;
+    final AttemptEligibility eligibility;
     final RequestTracker requests;
     final AdmissionControl admission;
-    final RoutingRefresh refresh;
+    final RoutingRefresher routingRefresher;
     final RequestScheduler scheduler;
     final HedgingPolicy hedging;
-    final AttemptOutcomes attemptOutcomes;
-    final HealthCheckResults healthCheckResults;
+    final AttemptOutcomeHandler attemptOutcomeHandler;
+    final HealthCheckOutcomeHandler healthCheckOutcomeHandler;
 
     private final Estimators estimators;
     private final EndpointRouting routing;
@@ -28,57 +28,64 @@
         PolicySettings settings = estimators.settings;
         SlowStartBudget budget =
                 new SlowStartBudget(settings, estimators.slowStart, estimators.work, estimators.rates, routing.table);
-        retries = new RetryEligibility(settings, budget);
+        eligibility = new AttemptEligibility(settings, budget);
         RequestQueue queue = new RequestQueue(settings, routing.table, actions);
-        requests = new RequestTracker(settings, estimators.work, queue, retries, actions);
+        requests = new RequestTracker(settings, estimators.work, queue, eligibility, actions);
         admission = new AdmissionControl(settings, random, routing.fleetLoad, routing.table);
         EstimateLog log = new EstimateLog(actions, estimators, routing, queue, nowMicros);
-        refresh = new RoutingRefresh(estimators.rates, log, routing.outliers, routing.subset, routing.table);
+        routingRefresher = new RoutingRefresher(estimators.rates, log, routing.outliers, routing.subset, routing.table);
         availability = new EndpointAvailability(
-                settings, routing.outliers, retries, estimators.slowStart, estimators.loads, estimators.speeds);
+                settings, routing.outliers, eligibility, estimators.slowStart, estimators.loads, estimators.speeds);
         PowerOfTwoSelector powerOfTwo = new PowerOfTwoSelector(settings, random, availability, estimators.loads);
-        LoadReports reports = new LoadReports(routing.registry, estimators.loads);
-        EndpointSelector selector = selector(random, reports, powerOfTwo);
-        OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, retries, actions);
+        LoadReportHandler reportHandler = new LoadReportHandler(routing.registry, estimators.loads);
+        EndpointSelector selector = selector(random, reportHandler, powerOfTwo);
+        OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, eligibility, actions);
         AttemptSender sender = sender(budget, overdueTimer, actions);
-        scheduler = new RequestScheduler(settings, routing.registry, queue, selector, sender, requests, retries);
+        scheduler = new RequestScheduler(settings, routing.registry, queue, selector, sender, requests, eligibility);
         hedging = new HedgingPolicy(
-                routing.table, refresh, routing.healthChecks, powerOfTwo, sender, overdueTimer, actions);
-        attemptOutcomes = attemptOutcomes(reports);
-        healthCheckResults = new HealthCheckResults(
-                routing.registry, routing.healthChecks, routing.outliers, estimators.loads, reports, scheduler);
+                routing.table, routingRefresher, routing.healthChecks, powerOfTwo, sender, overdueTimer, actions);
+        attemptOutcomeHandler = attemptOutcomeHandler(reportHandler);
+        healthCheckOutcomeHandler = new HealthCheckOutcomeHandler(
+                routing.registry, routing.healthChecks, routing.outliers, estimators.loads, reportHandler, scheduler);
     }
 
-    private EndpointSelector selector(SplittableRandom random, LoadReports reports, PowerOfTwoSelector powerOfTwo) {
-        HealthCheckedSelector healthChecked = new HealthCheckedSelector(
+    private EndpointSelector selector(
+            SplittableRandom random, LoadReportHandler reportHandler, PowerOfTwoSelector powerOfTwo) {
+        SampledLoadSelector sampledLoad = new SampledLoadSelector(
                 routing.registry,
                 estimators.rates,
                 routing.table,
-                reports,
+                reportHandler,
                 routing.healthChecks,
                 availability,
                 powerOfTwo);
         return new EndpointSelector(
-                estimators.settings, random, refresh, routing.table, routing.zoneShares, powerOfTwo, healthChecked);
+                estimators.settings,
+                random,
+                routingRefresher,
+                routing.table,
+                routing.zoneShares,
+                powerOfTwo,
+                sampledLoad);
     }
 
     private AttemptSender sender(
             SlowStartBudget budget, OverdueAttemptTimer overdueTimer, LoadBalancerActions actions) {
         AttemptForecaster forecaster = new AttemptForecaster(estimators.loads, routing.fleetLoad, estimators.speeds);
         return new AttemptSender(
-                retries, forecaster, estimators.attempts, budget, routing.idleConnections, overdueTimer, actions);
+                eligibility, forecaster, estimators.attempts, budget, routing.idleConnections, overdueTimer, actions);
     }
 
-    private AttemptOutcomes attemptOutcomes(LoadReports reports) {
+    private AttemptOutcomeHandler attemptOutcomeHandler(LoadReportHandler reportHandler) {
         OutcomeEvaluator evaluator =
                 new OutcomeEvaluator(routing.idleConnections, estimators.speeds, routing.outliers, estimators.loads);
-        return new AttemptOutcomes(
+        return new AttemptOutcomeHandler(
                 routing.registry,
                 requests,
                 estimators.attempts,
                 routing.idleConnections,
                 evaluator,
-                reports,
+                reportHandler,
                 scheduler);
     }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -18,8 +18,8 @@
  * Therefore an attempt is started only after a recent read of all sockets ({@link #afterPendingReads}). This takes up
  * to {@link #MAX_POSTPONEMENTS} further iterations of the loop, but never blocks it.
  *
- * <p>{@link #clock}, {@link #eventLoop} and {@link #shutDown} may be called from any thread, all other methods only on
- * the event loop.
+ * <p>{@link #clock}, {@link #nettyEventLoop} and {@link #shutDown} may be called from any thread, all other methods
+ * only on the event loop.
  */
 public final class ReadTrackingEventLoop {
     /**
@@ -33,7 +33,7 @@
      */
     private static final int MAX_POSTPONEMENTS = 2;
     /** A smaller delay is within the normal inaccuracy of timers and counts as none. */
-    private static final long MIN_LATE_MICROS = 20_000;
+    private static final long MIN_LAG_MICROS = 20_000;
     /** The recent lag decreases by this fraction with each {@link #recordLag}: by half after about twenty calls. */
     private static final int LAG_DECAY_DIVISOR = 32;
 
@@ -66,7 +66,7 @@
         return clock;
     }
 
-    public EventLoop eventLoop() {
+    public EventLoop nettyEventLoop() {
         return loop;
     }
 
@@ -99,7 +99,7 @@
         postponements = 0;
         // Starts that are added meanwhile are left for the next round.
         for (int remaining = pendingStarts.size(); remaining > 0; remaining--) {
-            FaultBarrier.run("attempt_start", pendingStarts.poll());
+            FaultIsolation.run("attempt_start", pendingStarts.poll());
         }
     }
 
@@ -112,12 +112,12 @@
      * By how many microseconds the loop is late for its timers; 0 if it is in time. Data that is read now may have
      * waited in its socket for this long, which can't be found out from the socket.
      */
-    public long lateMicros() {
+    public long currentLagMicros() {
         if (wakeUpDeadlineNanos == NO_DEADLINE) {
             return 0;
         }
-        long lateMicros = (loop.ticker().nanoTime() - wakeUpDeadlineNanos) / 1000;
-        return lateMicros < MIN_LATE_MICROS ? 0 : lateMicros;
+        long lagMicros = (loop.ticker().nanoTime() - wakeUpDeadlineNanos) / 1000;
+        return lagMicros < MIN_LAG_MICROS ? 0 : lagMicros;
     }
 
     /** Records by how much a periodic task ran late. Must be called by one periodic task, on each run. */
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultBarrierTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
@@ -13,7 +13,7 @@
  * process serves on.
  */
 @Timeout(60)
-class FaultBarrierTest {
+class FaultIsolationTest {
     private static int overflow(int depth) {
         return overflow(depth + 1) + 1;
     }
@@ -72,7 +72,7 @@
                 // The load balancer fails in its timer, and the requests that it held are answered.
                 assertEquals(502, active.status());
                 // A silent client is still disconnected by the maintenance.
-                assertEquals(true, silent.ended());
+                assertEquals(true, silent.isClosedBySidecar());
             }
         }
     }
