--- a/src/main/java/loadbalancer/decision/AdmissionControl.java
+++ b/src/main/java/loadbalancer/decision/AdmissionControl.java
@@ -3,14 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides whether an arriving request is admitted. When the expected wait in the fleet's queues nears the latency
+ * Decides whether an arriving request is admitted. When the expected wait in the fleet's queues approaches the latency
  * objective, admitting all requests would make all of them late. Requests of low priority are shed first. The
- * probability of shedding rises linearly with the wait, so that the sidecars do not all switch at the same moment.
+ * probability of shedding rises linearly with the wait, so that the sidecars do not all start to shed at the same
+ * moment.
  */
 final class AdmissionControl {
-    /** Nothing is shed while the wait is below this part of the latency objective. */
+    /** No request is shed while the expected wait is below this fraction of the latency objective. */
     private static final double SHED_NONE_RATIO = 0.25;
-    /** Everything is shed where the wait exceeds this part of the latency objective. */
+    /** Every request is shed when the expected wait exceeds this fraction of the latency objective. */
     private static final double SHED_ALL_RATIO = 0.75;
 
     private final PolicySettings settings;
@@ -26,7 +27,10 @@
         this.routingTable = routingTable;
     }
 
-    /** Whether to turn the request down at once. Draws a random number unless the capacity is 0. */
+    /**
+     * Returns whether to shed the request; always false if the fleet's capacity is 0. Draws a random number unless the
+     * capacity is 0.
+     */
     boolean shouldShed(long nowMicros, PendingRequest request) {
         double capacity = routingTable.capacityPerSecond();
         if (capacity <= 0) {
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -1,17 +1,18 @@
 package loadbalancer.decision;
 
 /**
- * One forwarding of a request to an endpoint: what was known at the send, and how it ended.
+ * One forwarding of a request to an endpoint: the forecast made when it was sent, and how it ended.
  *
  * <p>An attempt in flight is <i>overdue</i> when it has taken much longer than forecast, <i>overtaken</i> when its
- * endpoint has responded to an attempt sent later, and <i>missing</i> when it is overtaken and far beyond the forecast.
- * It is <i>lost</i> when it is missing or a load report showed that the endpoint does not hold it.
+ * endpoint has responded to an attempt sent later, and <i>presumed lost</i> when it is overtaken and has taken several
+ * times longer than forecast. It is <i>lost</i> when it is presumed lost or when a load report showed that the endpoint
+ * does not hold it.
  */
 final class Attempt {
-    /** An attempt is overdue after this many times its forecast time: its endpoint may have stalled. */
+    /** An attempt is overdue after this many times its forecast time, because its endpoint may have stalled. */
     static final double OVERDUE_RATIO = 1.5;
-    /** An overtaken attempt is missing after this many times its forecast time. */
-    private static final double MISSING_RATIO = 6;
+    /** An overtaken attempt is presumed lost after this many times its forecast time. */
+    private static final double PRESUMED_LOST_RATIO = 6;
 
     private final PendingRequest request;
     private final TrackedEndpoint endpoint;
@@ -21,7 +22,7 @@
     private final long connectionIdleMicros;
     private boolean ended;
     private boolean mayHaveRun = true;
-    private boolean lost;
+    private boolean reportedLost;
 
     Attempt(
             PendingRequest request,
@@ -42,9 +43,12 @@
         mayHaveRun = outcome.mayHaveRun;
     }
 
-    /** Called by {@link HedgingPolicy} alone, which compares a load report with the overdue attempts. */
-    void setLost(boolean lost) {
-        this.lost = lost;
+    /**
+     * Sets whether a load report showed that the endpoint does not hold the attempt. Called by {@link HedgingPolicy}
+     * alone.
+     */
+    void setReportedLost(boolean reportedLost) {
+        this.reportedLost = reportedLost;
     }
 
     PendingRequest request() {
@@ -55,7 +59,7 @@
         return endpoint;
     }
 
-    /** The endpoint's entry in the endpoint list at the time of the send. */
+    /** Returns the endpoint's entry in the endpoint list when the attempt was sent. */
     Endpoint listEntry() {
         return listEntry;
     }
@@ -68,7 +72,7 @@
         return sentMicros;
     }
 
-    /** How long the connection had been idle at the send; 0 where it was in use or new. */
+    /** Returns how long the connection had been idle when the attempt was sent; 0 if it was in use or new. */
     long connectionIdleMicros() {
         return connectionIdleMicros;
     }
@@ -77,7 +81,7 @@
         return ended;
     }
 
-    /** Whether the endpoint may have executed it: true until an outcome proves otherwise. */
+    /** Returns whether the endpoint may have executed the attempt: true until an outcome proves that it has not. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
@@ -86,23 +90,32 @@
         return nowMicros - sentMicros >= OVERDUE_RATIO * forecast.responseMicros();
     }
 
-    /** Whether the endpoint has responded to an attempt sent later: it works, and its queue is past this attempt. */
+    /**
+     * Returns whether the endpoint has responded to an attempt sent later. If so, the endpoint works and should have
+     * served this attempt before.
+     */
     boolean isOvertaken() {
-        return endpoint.attempts.hasRespondedToOneSentAfter(sentMicros);
+        return endpoint.attempts.hasRespondedToAttemptSentAfter(sentMicros);
     }
 
-    /** Whether it is overtaken and so late that it was more likely lost on the network than still being worked on. */
-    boolean isMissing(long nowMicros) {
-        return isOvertaken() && nowMicros - sentMicros > MISSING_RATIO * forecast.responseMicros();
+    /**
+     * Returns whether the attempt is overtaken and so late that it was probably lost on the network rather than still
+     * being processed.
+     */
+    boolean isPresumedLost(long nowMicros) {
+        return isOvertaken() && nowMicros - sentMicros > PRESUMED_LOST_RATIO * forecast.responseMicros();
     }
 
-    /** Whether its timeout would be a failure of the connection rather than of the endpoint. */
+    /** Returns whether a timeout of this attempt would be a failure of the connection rather than of the endpoint. */
     boolean isLost(long nowMicros) {
-        return lost || isMissing(nowMicros);
+        return reportedLost || isPresumedLost(nowMicros);
     }
 
-    /** Whether the endpoint has responded to another attempt within the last few times this attempt's forecast time. */
+    /**
+     * Returns whether the endpoint has responded to another attempt recently: within a few times the forecast time of
+     * this attempt.
+     */
     boolean isEndpointResponding(long nowMicros) {
-        return nowMicros - endpoint.attempts.lastResponseMicros() < MISSING_RATIO * forecast.responseMicros();
+        return nowMicros - endpoint.attempts.lastResponseMicros() < PRESUMED_LOST_RATIO * forecast.responseMicros();
     }
 }
--- a/src/main/java/loadbalancer/decision/AttemptEligibility.java
+++ b/src/main/java/loadbalancer/decision/AttemptEligibility.java
@@ -4,9 +4,10 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The rules on what may be sent, retried and rejected; every send, also a first one, and every rejection is checked
- * here. A request that may have run is sent again only where that has no second effect, and is never rejected, since a
- * rejection promises that nothing has run.
+ * The rules on which requests may be sent, retried and rejected. Every send, including the first one of a request, and
+ * every rejection is checked here. A request that an endpoint may have executed is sent again only if executing it
+ * twice has no further effect. It is never rejected, because a rejection promises that no endpoint has executed the
+ * request.
  */
 final class AttemptEligibility {
     private final PolicySettings settings;
@@ -17,35 +18,39 @@
         this.slowStartBudget = slowStartBudget;
     }
 
-    /** Whether the request may be sent to the endpoint now. */
+    /** Returns whether the request may be sent to the endpoint now. */
     boolean maySend(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
-        boolean attemptsSpent = request.attempts().size() >= settings.limits().maxAttempts();
-        if (request.isFinished() || request.isStreaming() || attemptsSpent) {
+        boolean attemptLimitReached =
+                request.attempts().size() >= settings.limits().maxAttempts();
+        if (request.isFinished() || request.isStreaming() || attemptLimitReached) {
             return false;
         }
         if (!endpoint.isReady() || nowMicros >= request.deadlineMicros()) {
             return false;
         }
-        if (request.hasAttempts() && !allowedAfterAttempts(nowMicros, request, endpoint)) {
+        if (request.hasAttempts() && !earlierAttemptsAllow(nowMicros, request, endpoint)) {
             return false;
         }
         return slowStartBudget.allows(endpoint, request.workMicros(), nowMicros);
     }
 
-    private boolean allowedAfterAttempts(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
+    private boolean earlierAttemptsAllow(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
         for (Attempt earlier : request.attempts()) {
             if (!earlier.hasEnded() && !settings.limits().hedging()) {
                 return false;
             }
-            if (earlier.mayHaveRun() && !isRepeatable(earlier, endpoint, nowMicros)) {
+            if (earlier.mayHaveRun() && !isSafeToRepeat(earlier, endpoint, nowMicros)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether repeating an attempt that may have run has no second effect, by its class and deduplication scope. */
-    boolean isRepeatable(Attempt earlier, TrackedEndpoint endpoint, long nowMicros) {
+    /**
+     * Returns whether the endpoint may be sent a request again that an earlier attempt may have executed. The answer
+     * depends on the idempotency, the deduplication scope and the deduplication window of the request class.
+     */
+    boolean isSafeToRepeat(Attempt earlier, TrackedEndpoint endpoint, long nowMicros) {
         RequestClass requestClass = earlier.request().requestClass();
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
@@ -56,16 +61,16 @@
                 || arrivalMicros - earlier.sentMicros() >= requestClass.deduplicationWindowMicros()) {
             return false;
         }
-        Endpoint before = earlier.listEntry();
-        Endpoint after = endpoint.listEntry();
+        Endpoint earlierEntry = earlier.listEntry();
+        Endpoint retryEntry = endpoint.listEntry();
         return switch (requestClass.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> after.zone().equals(before.zone());
-            case CELL -> after.cell() == before.cell();
+            case ZONE -> retryEntry.zone().equals(earlierEntry.zone());
+            case CELL -> retryEntry.cell() == earlierEntry.cell();
         };
     }
 
-    /** Whether the request may be rejected, which promises that nothing has run. */
+    /** Returns whether the request may be rejected, which promises that no endpoint has executed it. */
     boolean mayReject(PendingRequest request) {
         return !request.isFinished() && !request.isStreaming() && !request.mayHaveRun();
     }
--- a/src/main/java/loadbalancer/decision/AttemptForecast.java
+++ b/src/main/java/loadbalancer/decision/AttemptForecast.java
@@ -1,9 +1,9 @@
 package loadbalancer.decision;
 
 /**
- * The estimates for an attempt at the time of its send.
+ * The estimates for an attempt, made when it is sent.
  *
- * @param load requests that the endpoint held before it
+ * @param load requests that the endpoint held before this attempt
  * @param responseMicros expected time until the response, at the endpoint's speed factor
  * @param unitSpeedResponseMicros expected time until the response, at a speed factor of 1
  */
--- a/src/main/java/loadbalancer/decision/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** How an attempt ended, and whether the endpoint may have run the request. */
+/** How an attempt ended, and whether the endpoint may have executed the request. */
 public enum AttemptOutcome {
     /** A response that answers the request. */
     OK(true),
@@ -8,7 +8,7 @@
     ERROR(true),
     /** The endpoint refused the attempt before any work on it. */
     REJECTED(false),
-    /** No response by the deadline of the attempt. */
+    /** The endpoint did not respond before the deadline of the attempt. */
     TIMEOUT(true),
     /** No connection to the endpoint could be opened. */
     CONNECT_FAILED(false),
@@ -16,7 +16,7 @@
     RESET(true),
     /** This sidecar cancelled the attempt. */
     CANCELLED(true),
-    /** The host did not send the attempt: the request was over, or no further attempt was permitted. */
+    /** The host did not send the attempt: the request was already finished, or no further attempt was permitted. */
     NOT_SENT(false),
     /** The endpoint sent bytes that are not a valid response of the protocol. */
     MALFORMED_RESPONSE(true),
--- a/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
@@ -1,6 +1,9 @@
 package loadbalancer.decision;
 
-/** Handles the outcome of an attempt: updates the estimates of its endpoint, then decides on the request. */
+/**
+ * Handles the outcome of an attempt: updates the estimates of its endpoint, then finishes, fails or retries the
+ * request.
+ */
 final class AttemptOutcomeHandler {
     private final EndpointRegistry registry;
     private final RequestTracker requests;
@@ -39,7 +42,7 @@
             return;
         }
         endAttempt(nowMicros, attempt, result);
-        decide(nowMicros, request, result);
+        finishOrRetry(nowMicros, request, result);
         scheduler.dispatch(nowMicros);
         reportHandler.clearFresh();
     }
@@ -54,7 +57,7 @@
         evaluator.evaluate(nowMicros, attempt, result.outcome(), result.latencyMicros());
     }
 
-    private void decide(long nowMicros, PendingRequest request, AttemptResult result) {
+    private void finishOrRetry(long nowMicros, PendingRequest request, AttemptResult result) {
         if (result.requestDone() || request.isFinished()) {
             requests.finish(request);
         } else if (result.outcome() == AttemptOutcome.INVALID_REQUEST) {
--- a/src/main/java/loadbalancer/decision/AttemptResult.java
+++ b/src/main/java/loadbalancer/decision/AttemptResult.java
@@ -1,14 +1,14 @@
 package loadbalancer.decision;
 
 /**
- * How one attempt ended.
+ * The result of one attempt.
  *
  * @param requestId the request that the attempt belongs to
  * @param attemptNumber number of the attempt within its request, from 0
- * @param endpointId the endpoint that it was sent to
- * @param latencyMicros time from the send to the outcome
- * @param requestDone whether the request is over, by this outcome or already before it
- * @param loadReport the load report that came with the response, or null
+ * @param endpointId the endpoint that the attempt was sent to
+ * @param latencyMicros time from sending the attempt to its outcome
+ * @param requestDone whether the request is finished, either by this outcome or before it
+ * @param loadReport the load report in the response, or null if there was none
  */
 public record AttemptResult(
         String requestId,
--- a/src/main/java/loadbalancer/decision/AttemptSender.java
+++ b/src/main/java/loadbalancer/decision/AttemptSender.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Sends attempts and notifies the parts that keep account of them. */
+/** Sends attempts and updates the components that track them. */
 final class AttemptSender {
     private final AttemptEligibility eligibility;
     private final AttemptForecaster forecaster;
@@ -28,13 +28,14 @@
     }
 
     /**
-     * Forwards the request to the endpoint.
+     * Sends the request to the endpoint as a new attempt.
      *
-     * @throws IllegalStateException if the rules forbid it
+     * @throws IllegalStateException if {@link AttemptEligibility#maySend} forbids it
      */
     void send(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
         if (!eligibility.maySend(nowMicros, request, endpoint)) {
-            throw new IllegalStateException("the rules forbid sending " + request.id() + " to " + endpoint.id());
+            throw new IllegalStateException(
+                    "request " + request.id() + " must not be sent to endpoint " + endpoint.id());
         }
         AttemptForecast forecast = forecaster.forecast(nowMicros, request, endpoint);
         long connectionIdleMicros = idleConnections.prepareSend(nowMicros, endpoint);
--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -3,14 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when discovery is polled for the endpoint list: at the start, and again after each failed call, with a
- * jittered, exponentially growing delay, until a list arrives. Does nothing where lists are pushed.
+ * Decides when discovery is polled for the endpoint list: at the start, and again after each failed call, with
+ * exponential backoff and jitter, until a list arrives. Does nothing if lists are pushed.
  */
 final class DiscoveryPoller {
     private static final long FIRST_DELAY_MICROS = 500_000;
     /**
-     * Bound on the delay before its jitter of up to half. The first successful call has to come within 6 s after
-     * discovery recovers, and a last call that times out takes 2.5 s of them.
+     * Upper limit of the delay before jitter, which lengthens or shortens it by up to half. The first successful call
+     * must be made within 6 s after discovery recovers, and a preceding call that times out can take 2.5 s of that
+     * time.
      */
     private static final long MAX_DELAY_MICROS = 1_000_000;
 
@@ -27,7 +28,7 @@
         this.random = random;
     }
 
-    /** Polls for the first time, where lists are polled. */
+    /** Polls for the first time, if lists are polled. */
     void start() {
         if (settings.current().polledDiscovery()) {
             poll();
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Handles the result of a call. A cached list is not the result of a call and changes nothing. */
+    /** Handles the result of a call. Ignores a cached list, which is not the result of a call. */
     void onEndpointList(EndpointListType type) {
         if (!settings.current().polledDiscovery() || type == EndpointListType.CACHED) {
             return;
@@ -53,7 +54,7 @@
             delayMicros = FIRST_DELAY_MICROS;
             return;
         }
-        // Jittered, so that sidecars that failed together do not call together again.
+        // The jitter spreads the calls of sidecars whose calls failed at the same time.
         long jitteredMicros = delayMicros / 2 + random.nextLong(delayMicros);
         actions.startTimer(TimerNames.DISCOVERY_RETRY, jitteredMicros);
         long maxDelayMicros = Math.min(MAX_DELAY_MICROS, settings.rules().pollIntervalMicros() / 2 + 1);
--- a/src/main/java/loadbalancer/decision/GossipMessage.java
+++ b/src/main/java/loadbalancer/decision/GossipMessage.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * The message that one sidecar sends to others, and its encoding. Most numbers are unsigned fixed-point numbers of two
- * bytes; a value that is too large is encoded as the largest.
+ * The gossip message that a sidecar sends to others, and its binary encoding. Most numbers are encoded as unsigned
+ * two-byte fixed-point numbers; a value that is too large is encoded as the largest possible one.
  *
- * @param zoneIndex the sender's zone, by its index in the settings
- * @param ratePerSecond requests a second that arrive at the sender
- * @param inFlight requests of the sender that endpoints hold
+ * @param zoneIndex index in the settings of the sender's zone
+ * @param ratePerSecond requests per second that arrive at the sender
+ * @param inFlight number of the sender's requests that endpoints hold
  * @param machineTypes the sender's estimates of each machine type, in the order of the settings
- * @param idleLimitMicros the network drops connections that are idle for about this long; 0 if the sender saw no such
- *     failure
+ * @param idleLimitMicros idle time after which the network seems to drop connections; 0 if the sender has not seen such
+ *     a failure recently
  */
 record GossipMessage(
         int zoneIndex,
@@ -24,35 +24,35 @@
 
     private static final int MAX_SHORT = 65_535;
     private static final int MAX_BYTE = 255;
-    /** Rates are encoded in eighths of a request a second. */
+    /** Rates are encoded in eighths of a request per second. */
     private static final double RATE_UNITS_PER_REQUEST = 8.0;
-    /** Speed factors and cores are encoded in 256ths. */
-    private static final double SAMPLE_UNITS = 256.0;
+    /** Speed factors and numbers of cores are encoded in units of 1/256. */
+    private static final double SAMPLE_UNITS_PER_ONE = 256.0;
 
     private static final double MICROS_PER_MILLI = 1_000.0;
-    /** Zone, rate, in-flight requests and idle limit. */
+    /** Encoded length of the zone, the rate, the requests in flight and the idle limit. */
     private static final int FIXED_BYTES = 7;
 
     private static final int BYTES_PER_MACHINE_TYPE = 5;
 
     /**
-     * A sidecar's estimates of one machine type, as defined at {@link MachineTypeEstimate}.
+     * A sidecar's estimates of one machine type, as defined in {@link MachineTypeEstimate}.
      *
-     * @param responses number of responses behind the estimates, up to 255
+     * @param responses number of responses that the estimates are based on; encoded as at most 255
      */
     record MachineTypeSample(double speedFactor, double cores, int responses) {}
 
     byte[] encode() {
         ByteBuffer buffer = ByteBuffer.allocate(encodedLength(machineTypes.size()));
         buffer.put((byte) Math.min(MAX_BYTE, zoneIndex));
-        buffer.putShort(unsigned(ratePerSecond * RATE_UNITS_PER_REQUEST));
-        buffer.putShort(unsigned(inFlight));
+        buffer.putShort(toUnsignedShort(ratePerSecond * RATE_UNITS_PER_REQUEST));
+        buffer.putShort(toUnsignedShort(inFlight));
         for (MachineTypeSample sample : machineTypes) {
-            buffer.putShort(unsigned(sample.speedFactor() * SAMPLE_UNITS));
-            buffer.putShort(unsigned(sample.cores() * SAMPLE_UNITS));
+            buffer.putShort(toUnsignedShort(sample.speedFactor() * SAMPLE_UNITS_PER_ONE));
+            buffer.putShort(toUnsignedShort(sample.cores() * SAMPLE_UNITS_PER_ONE));
             buffer.put((byte) Math.min(MAX_BYTE, sample.responses()));
         }
-        buffer.putShort(unsigned(idleLimitMicros / MICROS_PER_MILLI));
+        buffer.putShort(toUnsignedShort(idleLimitMicros / MICROS_PER_MILLI));
         return buffer.array();
     }
 
@@ -60,7 +60,7 @@
      * Decodes a message.
      *
      * @param machineTypeCount number of machine types in the settings
-     * @return null if the length is not that of a message with this many machine types
+     * @return the message, or null if the length is not that of a message with this number of machine types
      */
     static GossipMessage decode(byte[] bytes, int machineTypeCount) {
         if (bytes.length != encodedLength(machineTypeCount)) {
@@ -68,15 +68,15 @@
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         int zoneIndex = Byte.toUnsignedInt(buffer.get());
-        double ratePerSecond = unsignedShort(buffer) / RATE_UNITS_PER_REQUEST;
-        double inFlight = unsignedShort(buffer);
+        double ratePerSecond = readUnsignedShort(buffer) / RATE_UNITS_PER_REQUEST;
+        double inFlight = readUnsignedShort(buffer);
         List<MachineTypeSample> machineTypes = new ArrayList<>(machineTypeCount);
         for (int i = 0; i < machineTypeCount; i++) {
-            double speedFactor = unsignedShort(buffer) / SAMPLE_UNITS;
-            double cores = unsignedShort(buffer) / SAMPLE_UNITS;
+            double speedFactor = readUnsignedShort(buffer) / SAMPLE_UNITS_PER_ONE;
+            double cores = readUnsignedShort(buffer) / SAMPLE_UNITS_PER_ONE;
             machineTypes.add(new MachineTypeSample(speedFactor, cores, Byte.toUnsignedInt(buffer.get())));
         }
-        long idleLimitMicros = unsignedShort(buffer) * (long) MICROS_PER_MILLI;
+        long idleLimitMicros = readUnsignedShort(buffer) * (long) MICROS_PER_MILLI;
         return new GossipMessage(zoneIndex, ratePerSecond, inFlight, machineTypes, idleLimitMicros);
     }
 
@@ -84,11 +84,11 @@
         return FIXED_BYTES + BYTES_PER_MACHINE_TYPE * machineTypeCount;
     }
 
-    private static short unsigned(double value) {
+    private static short toUnsignedShort(double value) {
         return (short) Math.min(MAX_SHORT, Math.round(value));
     }
 
-    private static int unsignedShort(ByteBuffer buffer) {
+    private static int readUnsignedShort(ByteBuffer buffer) {
         return Short.toUnsignedInt(buffer.getShort());
     }
 }
--- a/src/main/java/loadbalancer/decision/GossipPeer.java
+++ b/src/main/java/loadbalancer/decision/GossipPeer.java
@@ -1,11 +1,11 @@
 package loadbalancer.decision;
 
 /**
- * The last gossip of another sidecar about itself, bounded to plausible values.
+ * The values of the last gossip message from another sidecar, limited to a plausible range.
  *
- * @param ratePerSecond requests a second that arrive at it
- * @param inFlight requests of that sidecar that endpoints hold
- * @param zoneIndex its zone, by its index in the settings
+ * @param ratePerSecond requests per second that arrive at that sidecar
+ * @param inFlight number of that sidecar's requests that endpoints hold
+ * @param zoneIndex index in the settings of that sidecar's zone
  * @param receivedMicros when its message arrived
  */
 record GossipPeer(double ratePerSecond, double inFlight, int zoneIndex, long receivedMicros) {}
--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * Handles gossip from other sidecars. Bounds its values to what is plausible, so that a wrong message does little harm.
+ * Handles gossip from other sidecars. Limits rates and requests in flight to a plausible range, so that a wrong message
+ * does little harm.
  */
 final class GossipReceiver {
     /** A rate is limited to this many times the sum of the tenants' quotas. */
@@ -25,7 +26,7 @@
         this.idleConnections = idleConnections;
     }
 
-    /** Handles a message; one that is malformed or from an unknown sidecar is ignored. */
+    /** Handles a message. Ignores it if it is malformed or does not come from a peer. */
     void onMessage(long nowMicros, int sidecarIndex, byte[] bytes) {
         List<String> machineTypes = settings.current().machineTypes();
         GossipMessage message = isPeer(sidecarIndex) ? GossipMessage.decode(bytes, machineTypes.size()) : null;
@@ -53,7 +54,10 @@
         return quotas > 0 ? Math.min(ratePerSecond, MAX_QUOTA_RATIO * quotas) : ratePerSecond;
     }
 
-    /** A sidecar can't have more requests in flight than arrived within the longest deadline, and one more. */
+    /**
+     * Limits the requests in flight to one more than can have arrived within the longest deadline, since a sidecar
+     * cannot have more.
+     */
     private double plausibleInFlight(double inFlight, double ratePerSecond) {
         return Math.min(inFlight, 1 + ratePerSecond * settings.longestDeadlineMicros() / RateMath.MICROS_PER_SECOND);
     }
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -5,17 +5,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Sends this sidecar's estimates to the others at intervals: to all if that costs little, else to some at random, which
- * is enough because the receivers compute means over a sample of the sidecars.
+ * Sends this sidecar's estimates to the other sidecars at regular intervals: to all of them if that costs little,
+ * otherwise to some chosen at random. Some are enough, because the receivers compute means over a sample of the
+ * sidecars.
  */
 final class GossipSender {
     private static final long INTERVAL_MICROS = 500_000;
-    /** The part of the service's total value that gossip may cost. */
+    /** Fraction of the service's total value that gossip may cost. */
     private static final double MAX_TOTAL_PRICE = 0.002;
-    /** The price of gossip is for this many bytes per request. */
+    /** The price of gossip in the settings is that of this many delivered bytes per request. */
     private static final int PRICED_BYTES = 256;
     /** Most messages to single sidecars in one interval. */
-    private static final int MAX_DATAGRAMS = 16;
+    private static final int MAX_SINGLE_MESSAGES = 16;
 
     private final PolicySettings settings;
     private final SplittableRandom random;
@@ -41,7 +42,7 @@
         idleConnections = routing.idleConnections;
     }
 
-    /** Starts the timer at a random phase, if the settings allow gossip and it is not running. */
+    /** Starts the timer with a random first delay, if the settings allow gossip and the timer is not running. */
     void startIfAllowed() {
         if (!timerRunning && settings.sendsGossip()) {
             timerRunning = true;
@@ -49,7 +50,9 @@
         }
     }
 
-    /** Measures the rate, sends gossip and starts the timer again, unless the settings no longer allow gossip. */
+    /**
+     * Measures the request rate, sends gossip and starts the timer again, unless the settings no longer allow gossip.
+     */
     void onTimer(long nowMicros) {
         timerRunning = settings.sendsGossip();
         if (!timerRunning) {
@@ -62,7 +65,7 @@
         if (affordable >= peers) {
             actions.sendGossip(LoadBalancerActions.ALL_SIDECARS, bytes);
         } else {
-            sendToSome(Math.max(1, Math.min(MAX_DATAGRAMS, (int) affordable)), bytes);
+            sendToRandomPeers(Math.max(1, Math.min(MAX_SINGLE_MESSAGES, (int) affordable)), bytes);
         }
         actions.startTimer(TimerNames.GOSSIP, INTERVAL_MICROS);
     }
@@ -80,7 +83,10 @@
                 idleConnections.locallyObservedLimitMicros(nowMicros));
     }
 
-    /** Messages that this sidecar can afford in an interval; each sidecar gets an equal part of the fleet's budget. */
+    /**
+     * Returns how many messages this sidecar may send in an interval without exceeding its price limit. Every sidecar
+     * gets an equal fraction of the fleet's budget.
+     */
     private double affordableMessages(int bytes) {
         double price = settings.prices().gossip() * bytes / PRICED_BYTES;
         double pricePerSecond = price * RateMath.MICROS_PER_SECOND / INTERVAL_MICROS;
@@ -88,7 +94,7 @@
         return RateMath.safeDivide(budgetPerSecond, pricePerSecond);
     }
 
-    private void sendToSome(int messages, byte[] bytes) {
+    private void sendToRandomPeers(int messages, byte[] bytes) {
         int sidecars = settings.sidecarCount();
         for (int i = 0; i < messages; i++) {
             int peer = (settings.sidecarIndex() + 1 + random.nextInt(sidecars - 1)) % sidecars;
--- a/src/main/java/loadbalancer/decision/GossipState.java
+++ b/src/main/java/loadbalancer/decision/GossipState.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The last gossip of each sidecar, and a summary of it: the sum of the live peers' in-flight requests and the mean
- * request rate of a sidecar by zone. Gossip older than 5 s does not count, since its sender may have stopped.
+ * The last gossip of each sidecar, and a summary of it: the sum of the live peers' requests in flight and the mean
+ * request rate of a sidecar by zone. A peer is live if its last gossip is at most 5 s old; an older one is ignored,
+ * because the sender may have stopped.
  */
 final class GossipState {
     private static final long PEER_LIVE_MICROS = 5_000_000;
@@ -15,7 +16,7 @@
     private int livePeers;
     private double livePeersInFlight;
 
-    /** Forgets all peers, whose numbers may belong to other sidecars under new settings. */
+    /** Forgets all peers, because an index may belong to another sidecar under new settings. */
     void reset(int sidecarCount, int zoneCount) {
         peers = new GossipPeer[sidecarCount];
         zoneRatesPerSecond = new double[zoneCount];
@@ -26,7 +27,7 @@
         peers[sidecarIndex] = peer;
     }
 
-    /** Sums up the live peers and this sidecar. */
+    /** Updates the summary from the gossip of the live peers and this sidecar's own rate. */
     void summarize(long nowMicros, int localZoneIndex, double localRatePerSecond) {
         Arrays.fill(zoneRatesPerSecond, 0);
         zoneRatesPerSecond[localZoneIndex] = localRatePerSecond;
@@ -50,22 +51,22 @@
         return zoneRatesPerSecond.length;
     }
 
-    /** The zone's part of {@link #meanRatePerSecond}, in requests a second. */
+    /** Returns the part of {@link #meanRatePerSecond} that arrives in the zone, in requests per second. */
     double zoneRatePerSecond(int zoneIndex) {
         return zoneRatesPerSecond[zoneIndex];
     }
 
-    /** Mean requests a second of one sidecar, over the live peers and this one; 0 before the first summary. */
+    /** Returns the mean request rate per sidecar, over the live peers and this one; 0 before the first summary. */
     double meanRatePerSecond() {
         return meanRatePerSecond;
     }
 
-    /** Number of sidecars whose gossip is recent, without this one. */
+    /** Returns the number of live peers, not counting this sidecar. */
     int livePeers() {
         return livePeers;
     }
 
-    /** Sum of the requests of the live peers that endpoints hold. */
+    /** Returns the number of requests of the live peers that endpoints hold. */
     double livePeersInFlight() {
         return livePeersInFlight;
     }
--- a/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
@@ -1,6 +1,8 @@
 package loadbalancer.decision;
 
-/** Handles the outcomes of health checks: updates health and load of the endpoint, then serves the queue. */
+/**
+ * Handles the outcomes of health checks: updates the health and load of the endpoint, then dispatches queued requests.
+ */
 final class HealthCheckOutcomeHandler {
     private final EndpointRegistry registry;
     private final HealthChecks healthChecks;
@@ -25,9 +27,9 @@
     }
 
     /**
-     * Handles one outcome.
+     * Handles the outcome of one health check.
      *
-     * @param report null where the endpoint reported no load
+     * @param report the load report in the reply, or null if there was none
      */
     void onOutcome(long nowMicros, String endpointId, AttemptOutcome outcome, LoadReport report) {
         TrackedEndpoint endpoint = registry.find(endpointId);
--- a/src/main/java/loadbalancer/decision/HealthChecks.java
+++ b/src/main/java/loadbalancer/decision/HealthChecks.java
@@ -1,19 +1,19 @@
 package loadbalancer.decision;
 
-/** Sends health checks, one at a time to each endpoint, and knows which endpoints are unresponsive. */
+/** Sends health checks, one at a time to each endpoint, and tracks which endpoints are unresponsive. */
 final class HealthChecks {
-    /** A health check that has had no outcome for this long may be sent again. */
+    /** A health check may be sent again when the last one has had no outcome for this long. */
     private static final long RESEND_MICROS = 100_000;
-    /** An endpoint counts as unresponsive for this long after it left a check unanswered. */
+    /** An endpoint counts as unresponsive for this long after a health check was found unanswered. */
     private static final long UNRESPONSIVE_MICROS = 100_000;
 
     private final LoadBalancerActions actions;
 
-    /** The health checks of one endpoint. */
-    static final class Progress {
-        /** When the check was sent that has no outcome yet; 0 if there is none. */
+    /** The times of the health checks of one endpoint. */
+    static final class CheckTimes {
+        /** When the health check that has no outcome yet was sent; 0 if there is none. */
         private long sentMicros;
-        /** When a check for an overdue attempt was last found unanswered. */
+        /** When a health check for an overdue attempt was last found unanswered. */
         private long unansweredMicros = RateMath.NEVER_MICROS;
     }
 
@@ -21,7 +21,7 @@
         this.actions = actions;
     }
 
-    /** Sends a health check, unless one sent recently has no outcome yet. */
+    /** Sends a health check, unless one that was sent recently has no outcome yet. */
     void check(long nowMicros, TrackedEndpoint endpoint) {
         if (nowMicros - endpoint.healthChecks.sentMicros > RESEND_MICROS) {
             endpoint.healthChecks.sentMicros = nowMicros;
@@ -29,17 +29,17 @@
         }
     }
 
-    /** Notes that the endpoint's health check has an outcome, also a failed one. */
+    /** Notes that the endpoint's health check has an outcome, successful or not. */
     void onOutcome(TrackedEndpoint endpoint) {
         endpoint.healthChecks.sentMicros = 0;
     }
 
-    /** Notes that a check for an overdue attempt was not answered in time. */
+    /** Marks the endpoint as unresponsive because it has not answered a health check for an overdue attempt in time. */
     void markUnresponsive(long nowMicros, TrackedEndpoint endpoint) {
         endpoint.healthChecks.unansweredMicros = nowMicros;
     }
 
-    /** Whether the endpoint has recently left a check unanswered and has sent no load report since. */
+    /** Returns whether the endpoint was recently marked as unresponsive and has sent no load report since. */
     static boolean isUnresponsive(TrackedEndpoint endpoint, long nowMicros) {
         long unansweredMicros = endpoint.healthChecks.unansweredMicros;
         return unansweredMicros > endpoint.reportedLoad.reportedMicros()
--- a/src/main/java/loadbalancer/decision/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgingPolicy.java
@@ -1,15 +1,15 @@
 package loadbalancer.decision;
 
 /**
- * Decides on hedged requests: a second attempt while the first is in flight. When an attempt is overdue, its endpoint
- * gets a health check. A second attempt is sent only if the check stays unanswered or shows that the endpoint does not
- * hold the request; while the endpoint is working on the request, a second attempt would be wasted. A budget limits
- * hedged requests to a small part of all.
+ * Decides when a request is hedged, that is, sent a second time while its first attempt is in flight. When an attempt
+ * is overdue, its endpoint gets a health check. A second attempt is sent only if the check stays unanswered or shows
+ * that the endpoint does not hold the request; while the endpoint is processing the request, a second attempt would be
+ * wasted. A budget limits hedged requests to a small fraction of all requests.
  */
 final class HedgingPolicy {
-    /** Hedged requests that each arriving request adds to the budget. */
+    /** Number of hedged requests that each arriving request adds to the budget. */
     private static final double BUDGET_RATIO = 0.05;
-    /** The most hedged requests that the budget can hold. */
+    /** Upper limit of the budget, in hedged requests. */
     private static final double MAX_BUDGET = 10;
 
     private final RoutingTable routingTable;
@@ -19,7 +19,7 @@
     private final AttemptSender sender;
     private final OverdueAttemptTimer overdueTimer;
     private final LoadBalancerActions actions;
-    /** Hedged requests that may be sent now. */
+    /** Number of hedged requests that may be sent now. */
     private double budget;
 
     HedgingPolicy(
@@ -44,7 +44,7 @@
         budget = Math.min(MAX_BUDGET, budget + BUDGET_RATIO);
     }
 
-    /** Handles an overdue attempt: sends its endpoint a health check. */
+    /** Handles an overdue attempt by sending a health check to its endpoint. */
     void onAttemptOverdue(long nowMicros, PendingRequest request) {
         Attempt attempt = hedgeableAttempt(nowMicros, request);
         if (attempt == null || attempt.endpoint().isRemoved()) {
@@ -55,7 +55,10 @@
         actions.startTimer(TimerNames.HEALTH_CHECK_DUE + request.id(), RequestQueue.SWEEP_MICROS);
     }
 
-    /** Handles the end of the wait for that health check: sends a second attempt, or waits on if the endpoint works. */
+    /**
+     * Handles the end of the wait for the health check that {@link #onAttemptOverdue} sent. Sends a second attempt if
+     * the endpoint has not replied or does not hold the request; otherwise restarts the timer of the first attempt.
+     */
     void onHealthCheckDue(long nowMicros, PendingRequest request) {
         Attempt attempt = hedgeableAttempt(nowMicros, request);
         if (attempt == null) {
@@ -63,9 +66,9 @@
         }
         TrackedEndpoint endpoint = attempt.endpoint();
         boolean answered = endpoint.reportedLoad.reportedMicros() >= request.overdueCheckMicros();
-        // The endpoint replied but holds fewer attempts than were sent: the request or its response was lost.
+        // The endpoint replied but holds fewer attempts than were sent to it: the request or its response was lost.
         boolean lost = answered && endpoint.reportedLoad.lostAttempts() > 0;
-        attempt.setLost(lost);
+        attempt.setReportedLost(lost);
         if (!answered) {
             healthChecks.markUnresponsive(nowMicros, endpoint);
         } else if (!lost) {
@@ -88,7 +91,10 @@
         }
     }
 
-    /** The request's attempt in flight, if it is the only one and a second could still respond in time; else null. */
+    /**
+     * Returns the request's attempt in flight if it is the only one and a second attempt could still get its response
+     * in time; otherwise null.
+     */
     private Attempt hedgeableAttempt(long nowMicros, PendingRequest request) {
         if (request == null || request.isFinished() || request.isQueued()) {
             return null;
--- a/src/main/java/loadbalancer/decision/IdleConnectionPolicy.java
+++ b/src/main/java/loadbalancer/decision/IdleConnectionPolicy.java
@@ -1,39 +1,40 @@
 package loadbalancer.decision;
 
 /**
- * Decides when idle connections to an endpoint are closed: when it drains, and before a use after they have been idle
- * for longer than the network seems to keep them. A failure on a connection that was idle for long is blamed on the
- * connection, not on the endpoint. It sets a limit; connections that were idle for longer than the limit are closed
- * before use, until no such failure has been seen for a while.
+ * Decides when idle connections to an endpoint are closed: when the endpoint drains, and before a send if they have
+ * been idle for longer than the network seems to keep idle connections open. A failure on a connection that was idle
+ * for long is attributed to the connection, not to the endpoint, and sets an idle limit. Connections that were idle for
+ * longer than the limit are closed before use. The limit is raised, and finally removed, if no such failure is seen for
+ * a while.
  */
 final class IdleConnectionPolicy {
-    /** A connection idle for less than this is not suspected of having been dropped. */
+    /** Lowest idle limit. A connection that was idle for less is not suspected of having been dropped. */
     private static final long MIN_LIMIT_MICROS = 200_000;
 
-    /** The limit is doubled when it has not been confirmed for this long. */
-    private static final long FORGET_MICROS = 5_000_000;
-    /** For this long, a connection that worked after being idle shows that others are kept as well. */
-    private static final long KEPT_MICROS = 3_000_000;
+    /** The idle limit is doubled when no failure has confirmed it for this long. */
+    private static final long LIMIT_VALID_MICROS = 5_000_000;
+    /** For this long after a connection has worked despite being idle, others are assumed to be kept open as well. */
+    private static final long KEPT_OPEN_VALID_MICROS = 3_000_000;
 
     private final PolicySettings settings;
     private final LoadBalancerActions actions;
-    /** Longest idle time after which a connection is used; the maximum value stands for no limit. */
+    /** The idle limit: a connection idle for at least this long is closed before use; the maximum value is no limit. */
     private long limitMicros = Long.MAX_VALUE;
 
     private long limitSetMicros;
-    /** Longest idle time after which a connection has recently worked, and when it did. */
-    private long keptIdleMicros;
-
-    private long keptSeenMicros;
+    /** Longest idle time after which a connection has recently worked. */
+    private long keptOpenIdleMicros;
+    /** When a connection last worked after {@link #keptOpenIdleMicros}. */
+    private long keptOpenSeenMicros;
     /** When an attempt of this sidecar last failed on a connection that was idle for long. */
-    private long locallyObservedMicros = RateMath.NEVER_MICROS;
+    private long localFailureMicros = RateMath.NEVER_MICROS;
 
     /** When this sidecar's connections to an endpoint were last used. */
     static final class ConnectionUse {
-        /** 0 where no connection was used yet. */
+        /** 0 if no connection has been used yet. */
         private long lastUsedMicros;
 
-        /** Forgets the connections to an earlier process. */
+        /** Forgets the connections to a process that has been replaced. */
         void reset() {
             lastUsedMicros = 0;
         }
@@ -45,9 +46,9 @@
     }
 
     /**
-     * Closes the idle connections to an endpoint that is not ready, if the rules ask for it and there were any. Called
-     * when the endpoint list says so and after each later outcome there. An endpoint that is missing from the list is
-     * treated alike, since its drain may have gone unnoticed.
+     * Closes the idle connections to an endpoint that is not ready, if the settings require it and a connection has
+     * been used. Called when an endpoint list arrives, and after each outcome of an attempt on the endpoint. An
+     * endpoint that is missing from the list is treated like a draining one, because its drain may have gone unnoticed.
      */
     void closeIfDraining(TrackedEndpoint endpoint) {
         boolean used = endpoint.connections.lastUsedMicros > 0;
@@ -57,9 +58,9 @@
     }
 
     /**
-     * Prepares a send: closes the endpoint's idle connections if the network may have dropped them.
+     * Prepares to send an attempt: closes the endpoint's idle connections if the network may have dropped them.
      *
-     * @return how long the connection has been idle; 0 where it is in use or will be new
+     * @return how long the connection has been idle; 0 if it is in use or will be new
      */
     long prepareSend(long nowMicros, TrackedEndpoint endpoint) {
         long idleMicros = nowMicros - endpoint.connections.lastUsedMicros;
@@ -80,46 +81,53 @@
     }
 
     /**
-     * Learns from an outcome.
+     * Updates the idle limit from the outcome of an attempt.
      *
-     * @return whether the failure is blamed on the connection, so that it says nothing about the endpoint
+     * @return whether the outcome is a failure that is attributed to the connection and not to the endpoint
      */
     boolean recordOutcome(long nowMicros, Attempt attempt, AttemptOutcome outcome) {
         relaxLimit(nowMicros);
         long idleMicros = attempt.connectionIdleMicros();
         if (outcome == AttemptOutcome.OK) {
-            recordKeptConnection(nowMicros, idleMicros);
+            recordKeptOpenConnection(nowMicros, idleMicros);
         }
         if (!settings.usesSubset() || idleMicros < MIN_LIMIT_MICROS || !isSuspect(nowMicros, idleMicros, outcome)) {
             return false;
         }
-        locallyObservedMicros = nowMicros;
+        localFailureMicros = nowMicros;
         lowerLimit(nowMicros, withMargin(idleMicros));
         return true;
     }
 
-    private void recordKeptConnection(long nowMicros, long idleMicros) {
-        boolean keptIsOld = nowMicros - keptSeenMicros > KEPT_MICROS;
-        if (idleMicros >= keptIdleMicros || keptIsOld) {
-            keptIdleMicros = idleMicros;
-            keptSeenMicros = nowMicros;
+    private void recordKeptOpenConnection(long nowMicros, long idleMicros) {
+        boolean keptOpenIsStale = nowMicros - keptOpenSeenMicros > KEPT_OPEN_VALID_MICROS;
+        if (idleMicros >= keptOpenIdleMicros || keptOpenIsStale) {
+            keptOpenIdleMicros = idleMicros;
+            keptOpenSeenMicros = nowMicros;
         }
     }
 
-    /** The limit that follows from a connection dropped after this idle time. */
+    /** Returns the idle limit for a connection that was dropped after this idle time: three quarters of the time. */
     private static long withMargin(long idleMicros) {
         return idleMicros * 3 / 4;
     }
 
-    /** Whether the connection may be at fault: on a reset, or on a timeout unless one idle about as long was kept. */
+    /**
+     * Returns whether the connection may have caused the outcome: a reset, or a timeout unless a connection that was
+     * idle for about as long has recently worked.
+     */
     private boolean isSuspect(long nowMicros, long idleMicros, AttemptOutcome outcome) {
-        boolean kept = nowMicros - keptSeenMicros < KEPT_MICROS && withMargin(idleMicros) <= keptIdleMicros;
-        return outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.TIMEOUT && !kept;
+        boolean keptOpen =
+                nowMicros - keptOpenSeenMicros < KEPT_OPEN_VALID_MICROS && withMargin(idleMicros) <= keptOpenIdleMicros;
+        return outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.TIMEOUT && !keptOpen;
     }
 
-    /** Doubles a limit that has not been confirmed for a while; beyond the idle timeout it is removed. */
+    /**
+     * Doubles the idle limit if no failure has confirmed it for a while; removes it if it already exceeds the idle
+     * timeout.
+     */
     private void relaxLimit(long nowMicros) {
-        if (limitMicros == Long.MAX_VALUE || nowMicros - limitSetMicros <= FORGET_MICROS) {
+        if (limitMicros == Long.MAX_VALUE || nowMicros - limitSetMicros <= LIMIT_VALID_MICROS) {
             return;
         }
         limitSetMicros = nowMicros;
@@ -127,7 +135,10 @@
         limitMicros = beyondTimeout ? Long.MAX_VALUE : limitMicros * 2;
     }
 
-    /** Lowers the limit to the observed one, from here or from another sidecar, and counts as a confirmation. */
+    /**
+     * Lowers the idle limit to one that this or another sidecar has observed. Also confirms the limit, even if the
+     * observed one is higher.
+     */
     void lowerLimit(long nowMicros, long observedMicros) {
         limitMicros = Math.min(limitMicros, Math.max(MIN_LIMIT_MICROS, observedMicros));
         limitSetMicros = nowMicros;
@@ -141,8 +152,11 @@
         return limitMicros;
     }
 
-    /** The limit to send in gossip; 0 without a recent local failure, since a limit passed on would never expire. */
+    /**
+     * Returns the idle limit to send in gossip; 0 if this sidecar has not seen a failure recently, because a limit that
+     * sidecars only passed on to one another would never expire.
+     */
     long locallyObservedLimitMicros(long nowMicros) {
-        return nowMicros - locallyObservedMicros < FORGET_MICROS ? limitMicros : 0;
+        return nowMicros - localFailureMicros < LIMIT_VALID_MICROS ? limitMicros : 0;
     }
 }
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -5,12 +5,12 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * HALO Power-of-D with D = 2 (HALO paper, section IV-C) in one sidecar. Composes the rules and hands each event to the
- * part that decides on it; contains no rule itself.
+ * HALO Power-of-D with D = 2 (HALO paper, section IV-C) in one sidecar. Creates the components and passes each event to
+ * the component that handles it; contains no rule itself.
  *
  * <p>{@link RoutingTable} splits the fleet's request rate over the machine types by Eq. (4), {@link EndpointSelector}
- * draws two endpoints from it and takes the less loaded one, {@link RequestScheduler} queues requests for which no
- * endpoint has room, and {@link AttemptEligibility} checks every send and rejection.
+ * draws two endpoints from it and takes the less loaded one, {@link RequestScheduler} queues requests that no endpoint
+ * can take, and {@link AttemptEligibility} checks every send and rejection.
  */
 public final class LoadBalancingPolicy implements LoadBalancer {
     private final Estimators estimators;
@@ -30,9 +30,9 @@
     final RequestTracker requests;
 
     /**
-     * Starts the module.
+     * Creates the policy and makes its first decisions: it may start the gossip timer and poll discovery.
      *
-     * @param seed seed of all random draws
+     * @param seed seed of the generator of all random numbers
      */
     public LoadBalancingPolicy(
             LoadBalancerSettings initialSettings, long seed, long nowMicros, LoadBalancerActions actions) {
@@ -41,15 +41,15 @@
         EndpointRouting routing = new EndpointRouting(estimators, actions);
         endpoints = routing.registry;
         subset = routing.subset;
-        RequestHandling handling = new RequestHandling(estimators, routing, random, actions, nowMicros);
-        eligibility = handling.eligibility;
-        requests = handling.requests;
-        admission = handling.admission;
-        routingRefresher = handling.routingRefresher;
-        scheduler = handling.scheduler;
-        hedging = handling.hedging;
-        attemptOutcomeHandler = handling.attemptOutcomeHandler;
-        healthCheckOutcomeHandler = handling.healthCheckOutcomeHandler;
+        RequestComponents requestComponents = new RequestComponents(estimators, routing, random, actions, nowMicros);
+        eligibility = requestComponents.eligibility;
+        requests = requestComponents.requests;
+        admission = requestComponents.admission;
+        routingRefresher = requestComponents.routingRefresher;
+        scheduler = requestComponents.scheduler;
+        hedging = requestComponents.hedging;
+        attemptOutcomeHandler = requestComponents.attemptOutcomeHandler;
+        healthCheckOutcomeHandler = requestComponents.healthCheckOutcomeHandler;
         gossipSender = new GossipSender(estimators.settings, random, actions, estimators.rates, routing);
         gossipReceiver = new GossipReceiver(estimators.settings, estimators.gossip, endpoints, routing.idleConnections);
         discovery = new DiscoveryPoller(estimators.settings, actions, random);
@@ -58,7 +58,7 @@
         discovery.start();
     }
 
-    /** Keeps the learned estimates; pending requests keep the request class that they came with. */
+    /** Keeps the learned estimates; pending requests keep the request class that they were accepted with. */
     @Override
     public void onSettings(long nowMicros, LoadBalancerSettings newSettings) {
         apply(newSettings);
--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -46,7 +46,7 @@
 
     /** Local attempts in flight, without those that were lost on their way. */
     private static int localLoad(TrackedEndpoint endpoint, long nowMicros) {
-        int lost = Math.max(endpoint.reportedLoad.lostAttempts, endpoint.attempts.missingCount(nowMicros));
+        int lost = Math.max(endpoint.reportedLoad.lostAttempts, endpoint.attempts.presumedLostCount(nowMicros));
         return Math.max(0, endpoint.localInFlight() - lost);
     }
 
@@ -72,7 +72,7 @@
     /** Handles a load report. Overdue attempts that the endpoint does not hold were lost on their connections. */
     void onReport(TrackedEndpoint endpoint, LoadReport report, long nowMicros) {
         long overdue = 0;
-        for (Attempt attempt : endpoint.attempts.inOrder()) {
+        for (Attempt attempt : endpoint.attempts.inSendOrder()) {
             if (attempt.isOverdue(nowMicros)) {
                 overdue++;
             }
--- a/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
+++ b/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
@@ -1,6 +1,9 @@
 package loadbalancer.decision;
 
-/** Decides what an attempt's outcome shows about its endpoint's speed, health or load, or about the connection. */
+/**
+ * Evaluates the outcome of an attempt: decides whether it concerns the connection or the speed, health or load of the
+ * endpoint, and updates the estimates.
+ */
 final class OutcomeEvaluator {
     private final IdleConnectionPolicy idleConnections;
     private final SpeedEstimator speeds;
@@ -18,7 +21,7 @@
         this.loads = loads;
     }
 
-    /** Updates the estimates of the attempt's endpoint. */
+    /** Updates the estimates of the attempt's endpoint, or of the connection if it caused the failure. */
     void evaluate(long nowMicros, Attempt attempt, AttemptOutcome outcome, long latencyMicros) {
         TrackedEndpoint endpoint = attempt.endpoint();
         if (idleConnections.recordOutcome(nowMicros, attempt, outcome)) {
@@ -35,7 +38,7 @@
                 outliers.ejectIfDue(nowMicros, endpoint);
             }
             case ERROR -> outliers.recordFailure(nowMicros, endpoint, OutlierDetector.FAILURE_WEIGHT);
-                // Low weight, as the connection may be at fault; a dead endpoint then fails the next connect.
+                // Low weight, because the connection may be at fault. If the endpoint is dead, the next connect fails.
             case RESET, MALFORMED_RESPONSE -> outliers.recordFailure(
                     nowMicros, endpoint, OutlierDetector.CONNECTION_FAILURE_WEIGHT);
             case CONNECT_FAILED -> evaluateConnectFailure(nowMicros, attempt);
@@ -44,7 +47,10 @@
         }
     }
 
-    /** A single lost request, while others get responses, shows neither a slow nor a failing endpoint. */
+    /**
+     * Records a timeout, unless the attempt was lost: one lost request, while others get responses, does not show that
+     * the endpoint is slow or failing.
+     */
     private void evaluateTimeout(long nowMicros, Attempt attempt, long latencyMicros) {
         if (attempt.isLost(nowMicros)) {
             return;
@@ -53,7 +59,10 @@
         outliers.recordFailure(nowMicros, attempt.endpoint(), OutlierDetector.FAILURE_WEIGHT);
     }
 
-    /** Blames the connection if the endpoint responds to other attempts; else no process listens, so it is ejected. */
+    /**
+     * Records a failure of the connection if the endpoint responds to other attempts. Otherwise ejects the endpoint,
+     * because probably no process is listening.
+     */
     private void evaluateConnectFailure(long nowMicros, Attempt attempt) {
         int weight = attempt.isEndpointResponding(nowMicros)
                 ? OutlierDetector.CONNECTION_FAILURE_WEIGHT
@@ -61,7 +70,10 @@
         outliers.recordFailure(nowMicros, attempt.endpoint(), weight);
     }
 
-    /** An endpoint that rejects although it has free cores, and responds to no other attempt, is leaving or broken. */
+    /**
+     * Records a rejection. An endpoint that rejects although it has free cores, and that responds to no other attempt,
+     * is shutting down or broken, so it is ejected for longer. In any case the endpoint is assumed to be full.
+     */
     private void evaluateRejection(long nowMicros, Attempt attempt) {
         TrackedEndpoint endpoint = attempt.endpoint();
         if (attempt.isEndpointResponding(nowMicros)) {
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -1,33 +1,37 @@
 package loadbalancer.decision;
 
 /**
- * Ejects endpoints that fail several times in a row: they are not drawn for a time that doubles with each ejection, and
- * then get one attempt at a time until one succeeds. In panic mode, when more than half of the ready endpoints are
- * ejected or unresponsive, both are ignored: failures of most endpoints say little about a single one.
+ * Ejects endpoints that fail several times in a row. An ejected endpoint gets no requests for a time that doubles with
+ * each ejection, and then one attempt at a time until one succeeds. In panic mode, when more than half of the ready
+ * endpoints are ejected or unresponsive, both states are ignored, because failures of most endpoints say little about
+ * any single one.
  */
 final class OutlierDetector {
-    /** An endpoint is ejected when its failures since the last success add up to this weight. */
+    /** An endpoint is ejected when the weights of its failures since the last success add up to this value. */
     static final int EJECTION_WEIGHT = 4;
-    /** Weight of a failure of the endpoint. */
+    /** Weight of a failure that is attributed to the endpoint. */
     static final int FAILURE_WEIGHT = 2;
-    /** Weight of a failure that may be the connection's; an endpoint with only such failures is ejected too. */
+    /**
+     * Weight of a failure that the connection may have caused. An endpoint with only such failures is ejected too,
+     * after more of them.
+     */
     static final int CONNECTION_FAILURE_WEIGHT = 1;
 
     private static final long BASE_EJECTION_MICROS = 500_000;
     private static final long MAX_EJECTION_MICROS = 8_000_000;
-    /** Limits the shift of the base time. */
+    /** Limits the left shift of the base ejection time. */
     private static final int MAX_DOUBLINGS = 10;
-    /** After a persistent failure an ejection lasts as long as if there had been this many before it. */
-    private static final int PERSISTENT_EJECTIONS = 2;
+    /** After a persistent failure, an ejection lasts at least as long as if this many ejections had preceded it. */
+    private static final int PERSISTENT_FAILURE_MIN_EJECTIONS = 2;
 
     private final EndpointRegistry registry;
     private boolean panicMode;
 
-    /** The failures of one endpoint. */
+    /** The failures and ejections of one endpoint. */
     static final class Health {
         /** Sum of the weights of the failures since the last success or ejection. */
         private int failureWeight;
-        /** Ejections since the last success. */
+        /** Number of ejections since the last success. */
         private int ejections;
 
         private long ejectedUntilMicros;
@@ -53,7 +57,10 @@
         ejectIfDue(nowMicros, endpoint);
     }
 
-    /** Ejects the endpoint if its failures weigh enough and it is not ejected; those during an ejection count too. */
+    /**
+     * Ejects the endpoint if its failures have reached {@link #EJECTION_WEIGHT} and it is not ejected already. Failures
+     * during an ejection count toward the next one.
+     */
     void ejectIfDue(long nowMicros, TrackedEndpoint endpoint) {
         Health health = endpoint.health;
         if (health.failureWeight >= EJECTION_WEIGHT && nowMicros >= health.ejectedUntilMicros) {
@@ -64,9 +71,9 @@
         }
     }
 
-    /** Records a failure that is expected to last: the endpoint is ejected at once, and for longer. */
+    /** Records a failure that is expected to last, and ejects the endpoint at once and for longer than usual. */
     void recordPersistentFailure(long nowMicros, TrackedEndpoint endpoint) {
-        endpoint.health.ejections = Math.max(PERSISTENT_EJECTIONS, endpoint.health.ejections);
+        endpoint.health.ejections = Math.max(PERSISTENT_FAILURE_MIN_EJECTIONS, endpoint.health.ejections);
         recordFailure(nowMicros, endpoint, EJECTION_WEIGHT);
     }
 
@@ -74,24 +81,26 @@
         return nowMicros < endpoint.health.ejectedUntilMicros;
     }
 
-    /** Enters or leaves panic mode. */
+    /** Enters or leaves panic mode, depending on how many ready endpoints are ejected or unresponsive. */
     void updatePanicMode(long nowMicros) {
-        int out = 0;
+        int unavailable = 0;
         for (TrackedEndpoint endpoint : registry.ready()) {
             if (HealthChecks.isUnresponsive(endpoint, nowMicros) || isEjected(endpoint, nowMicros)) {
-                out++;
+                unavailable++;
             }
         }
-        panicMode = 2 * out > registry.ready().size();
+        panicMode = 2 * unavailable > registry.ready().size();
     }
 
-    /** Whether the endpoint's health lets it take a request now. */
+    /** Returns whether the health of the endpoint allows it to take a request now; always true in panic mode. */
     boolean isAvailable(TrackedEndpoint endpoint, long nowMicros) {
         if (panicMode) {
             return true;
         }
-        // After an ejection, one attempt at a time until one succeeds.
-        boolean onTrial = endpoint.health.ejections > 0 && endpoint.localInFlight() > 0;
-        return !HealthChecks.isUnresponsive(endpoint, nowMicros) && !isEjected(endpoint, nowMicros) && !onTrial;
+        // After an ejection, the endpoint gets one attempt at a time until one succeeds.
+        boolean awaitsTrialOutcome = endpoint.health.ejections > 0 && endpoint.localInFlight() > 0;
+        return !HealthChecks.isUnresponsive(endpoint, nowMicros)
+                && !isEjected(endpoint, nowMicros)
+                && !awaitsTrialOutcome;
     }
 }
--- a/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
+++ b/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
-/** Starts the timers at which {@link HedgingPolicy} looks at an attempt that is still in flight. */
+/** Starts the timers after which {@link HedgingPolicy} checks an attempt that is still in flight. */
 final class OverdueAttemptTimer {
-    /** An endpoint that was found to be working is checked again after this part of the forecast time. */
+    /** An endpoint that has replied to a health check is checked again after this fraction of the forecast time. */
     private static final double RECHECK_RATIO = 0.5;
 
     private final PolicySettings settings;
@@ -15,20 +15,20 @@
         this.actions = actions;
     }
 
-    /** Starts the timer of a new attempt, unless a second attempt would not be allowed. */
+    /** Starts the timer of a new attempt if a second attempt would be allowed. */
     void start(long nowMicros, Attempt attempt) {
-        if (settings.hedgesRequests() && eligibility.isRepeatable(attempt, attempt.endpoint(), nowMicros)) {
+        if (settings.hedgesRequests() && eligibility.isSafeToRepeat(attempt, attempt.endpoint(), nowMicros)) {
             startTimer(attempt, Attempt.OVERDUE_RATIO);
         }
     }
 
-    /** Starts the timer again for an overdue attempt on an endpoint that is working. */
+    /** Starts the timer again for an overdue attempt that its endpoint is still processing. */
     void restart(Attempt attempt) {
         startTimer(attempt, RECHECK_RATIO);
     }
 
-    private void startTimer(Attempt attempt, double ratio) {
-        long delayMicros = (long) (ratio * attempt.forecast().responseMicros());
+    private void startTimer(Attempt attempt, double forecastRatio) {
+        long delayMicros = (long) (forecastRatio * attempt.forecast().responseMicros());
         String name = TimerNames.ATTEMPT_OVERDUE + attempt.request().id();
         actions.startTimer(name, Math.max(RequestQueue.SWEEP_MICROS, delayMicros));
     }
--- a/src/main/java/loadbalancer/decision/PendingRequest.java
+++ b/src/main/java/loadbalancer/decision/PendingRequest.java
@@ -21,8 +21,8 @@
     final SampledLoadSelector.Sampling sampling = new SampledLoadSelector.Sampling();
 
     /**
-     * @param workMicros its expected work, in microseconds of a standard core
-     * @param relativePriority its class's priority weight relative to the highest one, up to 1
+     * @param workMicros expected work of the request, in microseconds of a standard core
+     * @param relativePriority priority weight of the request's class divided by the highest priority weight, at most 1
      */
     PendingRequest(
             long nowMicros, Request request, RequestClass requestClass, double workMicros, double relativePriority) {
@@ -58,20 +58,24 @@
         return deadlineMicros;
     }
 
-    /** When a response ceases to be useful: the deadline where late responses count, else the latency objective. */
+    /**
+     * Returns the time after which a response is no longer useful: the deadline if late responses have value in this
+     * request class, else the end of the latency objective.
+     */
     long usefulUntilMicros() {
         return usefulUntilMicros;
     }
 
     /**
-     * Sort key of the queue; the least is served first. It is the time of the latency objective, moved later by up to
-     * half an objective for a low priority and by a whole one for a client's retry.
+     * Returns the sort key of the queue; the request with the lowest key is served first. The key is the time at which
+     * the latency objective ends, plus up to half an objective for a low priority, plus a whole one for a client's
+     * retry.
      */
     long queueOrderMicros() {
         return queueOrderMicros;
     }
 
-    /** All attempts in the order of their sends; an attempt's number is its index. */
+    /** Returns all attempts in the order in which they were sent; an attempt's number is its index. */
     List<Attempt> attempts() {
         return attempts;
     }
@@ -89,7 +93,7 @@
         return false;
     }
 
-    /** Whether any attempt may have been executed by an endpoint. */
+    /** Returns whether an endpoint may have executed any of the attempts. */
     boolean mayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveRun()) {
@@ -99,7 +103,7 @@
         return false;
     }
 
-    /** The attempt in flight of this number, or null. */
+    /** Returns the attempt with this number if it is in flight, else null. */
     Attempt attemptInFlight(int number) {
         if (number < 0 || number >= attempts.size() || attempts.get(number).hasEnded()) {
             return null;
@@ -107,7 +111,7 @@
         return attempts.get(number);
     }
 
-    /** Whether it has its final response or its client no longer waits for one. */
+    /** Returns whether the request has its final response or its client no longer waits for one. */
     boolean isFinished() {
         return finished;
     }
@@ -117,7 +121,7 @@
         finished = true;
     }
 
-    /** Whether the first part of its response has been forwarded. */
+    /** Returns whether the first bytes of its response have been forwarded to the client. */
     boolean isStreaming() {
         return streaming;
     }
@@ -136,7 +140,7 @@
         this.queued = queued;
     }
 
-    /** When a health check was last sent because its attempt was overdue. */
+    /** Returns when a health check was last sent because the request's attempt was overdue; 0 if never. */
     long overdueCheckMicros() {
         return overdueCheckMicros;
     }
--- a/src/main/java/loadbalancer/decision/RequestHandling.java
+++ b/src/main/java/loadbalancer/decision/RequestComponents.java
@@ -2,8 +2,8 @@
 
 import java.util.SplittableRandom;
 
-/** Wires the parts that decide on requests from their admission to their final response. */
-final class RequestHandling {
+/** Creates and wires the components that handle requests, from their admission to their final response. */
+final class RequestComponents {
     final AttemptEligibility eligibility;
     final RequestTracker requests;
     final AdmissionControl admission;
@@ -17,7 +17,7 @@
     private final EndpointRouting routing;
     private final EndpointAvailability availability;
 
-    RequestHandling(
+    RequestComponents(
             Estimators estimators,
             EndpointRouting routing,
             SplittableRandom random,
@@ -38,18 +38,18 @@
                 settings, routing.outliers, eligibility, estimators.slowStart, estimators.loads, estimators.speeds);
         PowerOfTwoSelector powerOfTwo = new PowerOfTwoSelector(settings, random, availability, estimators.loads);
         LoadReportHandler reportHandler = new LoadReportHandler(routing.registry, estimators.loads);
-        EndpointSelector selector = selector(random, reportHandler, powerOfTwo);
+        EndpointSelector selector = createSelector(random, reportHandler, powerOfTwo);
         OverdueAttemptTimer overdueTimer = new OverdueAttemptTimer(settings, eligibility, actions);
-        AttemptSender sender = sender(budget, overdueTimer, actions);
+        AttemptSender sender = createSender(budget, overdueTimer, actions);
         scheduler = new RequestScheduler(settings, routing.registry, queue, selector, sender, requests, eligibility);
         hedging = new HedgingPolicy(
                 routing.table, routingRefresher, routing.healthChecks, powerOfTwo, sender, overdueTimer, actions);
-        attemptOutcomeHandler = attemptOutcomeHandler(reportHandler);
+        attemptOutcomeHandler = createAttemptOutcomeHandler(reportHandler);
         healthCheckOutcomeHandler = new HealthCheckOutcomeHandler(
                 routing.registry, routing.healthChecks, routing.outliers, estimators.loads, reportHandler, scheduler);
     }
 
-    private EndpointSelector selector(
+    private EndpointSelector createSelector(
             SplittableRandom random, LoadReportHandler reportHandler, PowerOfTwoSelector powerOfTwo) {
         SampledLoadSelector sampledLoad = new SampledLoadSelector(
                 routing.registry,
@@ -69,14 +69,14 @@
                 sampledLoad);
     }
 
-    private AttemptSender sender(
+    private AttemptSender createSender(
             SlowStartBudget budget, OverdueAttemptTimer overdueTimer, LoadBalancerActions actions) {
         AttemptForecaster forecaster = new AttemptForecaster(estimators.loads, routing.fleetLoad, estimators.speeds);
         return new AttemptSender(
                 eligibility, forecaster, estimators.attempts, budget, routing.idleConnections, overdueTimer, actions);
     }
 
-    private AttemptOutcomeHandler attemptOutcomeHandler(LoadReportHandler reportHandler) {
+    private AttemptOutcomeHandler createAttemptOutcomeHandler(LoadReportHandler reportHandler) {
         OutcomeEvaluator evaluator =
                 new OutcomeEvaluator(routing.idleConnections, estimators.speeds, routing.outliers, estimators.loads);
         return new AttemptOutcomeHandler(
--- a/src/main/java/loadbalancer/decision/RequestQueue.java
+++ b/src/main/java/loadbalancer/decision/RequestQueue.java
@@ -3,12 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The requests that wait for an endpoint with room, in the order of service, and the timer that checks them. */
+/**
+ * The requests that wait for an endpoint with spare capacity, sorted by {@link PendingRequest#queueOrderMicros}, and
+ * the timer for the sweeps of this queue.
+ */
 final class RequestQueue {
-    /** The queue is checked this often, to give up in time the requests that find no room. */
+    /** Interval of the sweeps, which reject or fail before their deadline the requests that find no endpoint. */
     static final long SWEEP_MICROS = 5_000;
-    /** Time reserved for the attempt of a queued request, in multiples of its service time at the fastest endpoint. */
-    private static final double START_SLACK_RATIO = 1.5;
+    /** Time reserved for the attempt of a queued request, as a multiple of its service time at the fastest endpoint. */
+    private static final double RESERVED_TIME_RATIO = 1.5;
 
     private final PolicySettings settings;
     private final RoutingTable routingTable;
@@ -22,19 +25,24 @@
         this.actions = actions;
     }
 
-    /** The latest time to send the request for which a useful response can be expected; it is given up from then on. */
-    long lastStartMicros(PendingRequest request) {
-        // No time is reserved while the request waits for the load reports of its pair.
-        double slackMicros = request.sampling.isInProgress()
+    /**
+     * Returns the time before which the request must be sent for a useful response to be expected. From this time on,
+     * the request is rejected or failed.
+     */
+    long latestSendMicros(PendingRequest request) {
+        // No time is reserved while the request waits for the load reports of its two drawn endpoints.
+        double reservedMicros = request.sampling.isInProgress()
                 ? 0
-                : START_SLACK_RATIO * routingTable.bestSpeedFactor() * request.workMicros();
-        long lastForUsefulResponse = (long) (request.usefulUntilMicros() - slackMicros);
-        long lastForSweep =
+                : RESERVED_TIME_RATIO * routingTable.bestSpeedFactor() * request.workMicros();
+        long latestForUsefulResponseMicros = (long) (request.usefulUntilMicros() - reservedMicros);
+        long latestForSweepMicros =
                 request.deadlineMicros() - SWEEP_MICROS - 2 * settings.current().clockTickMicros();
-        return Math.min(lastForSweep, lastForUsefulResponse);
+        return Math.min(latestForSweepMicros, latestForUsefulResponseMicros);
     }
 
-    /** Inserts a request by its place in the order of service, behind those of the same place. */
+    /**
+     * Inserts a request in the order of {@link PendingRequest#queueOrderMicros}, behind requests with the same value.
+     */
     void add(PendingRequest request) {
         request.setQueued(true);
         int index = requests.size();
@@ -45,7 +53,7 @@
         startSweepTimer();
     }
 
-    /** Removes a request if it is queued. */
+    /** Removes the request if it is queued. */
     void remove(PendingRequest request) {
         if (request.isQueued()) {
             requests.remove(request);
@@ -74,7 +82,7 @@
         sweepTimerRunning = false;
     }
 
-    /** Starts the sweep timer if requests are queued and it is not running. */
+    /** Starts the sweep timer if it is not running and the queue is not empty. */
     void startSweepTimer() {
         if (!sweepTimerRunning && !requests.isEmpty()) {
             sweepTimerRunning = true;
--- a/src/main/java/loadbalancer/decision/RequestScheduler.java
+++ b/src/main/java/loadbalancer/decision/RequestScheduler.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Decides whether a request is sent, waits in the queue, or gets its final response without being sent. */
+/** Decides whether a request is sent to an endpoint, queued, rejected or failed. */
 final class RequestScheduler {
     private final PolicySettings settings;
     private final EndpointRegistry registry;
@@ -27,10 +27,13 @@
         this.eligibility = eligibility;
     }
 
-    /** Sends an admitted request, or queues it. Other requests in the queue go first, unless loads are sampled. */
+    /**
+     * Sends an admitted request, or queues it if no endpoint can take it. It is also queued if other requests are
+     * already waiting, unless loads are sampled.
+     */
     void schedule(long nowMicros, PendingRequest request) {
-        boolean mayOvertake = queue.isEmpty() || settings.samplesLoad();
-        TrackedEndpoint endpoint = mayOvertake ? selector.select(nowMicros, request) : null;
+        boolean mayBypassQueue = queue.isEmpty() || settings.samplesLoad();
+        TrackedEndpoint endpoint = mayBypassQueue ? selector.select(nowMicros, request) : null;
         if (endpoint == null) {
             enqueue(nowMicros, request);
         } else {
@@ -38,23 +41,27 @@
         }
     }
 
-    /** After a failed attempt: sends another or queues the request where rules and time allow it, else gives it up. */
+    /**
+     * Handles a request after a failed attempt. Sends another attempt if an endpoint can take it, or queues the request
+     * if the rules allow another attempt; otherwise rejects or fails it. Does nothing while another attempt is in
+     * flight.
+     */
     void retry(long nowMicros, PendingRequest request) {
         if (request.hasAttemptInFlight()) {
             return;
         }
-        boolean inTime = nowMicros < queue.lastStartMicros(request);
+        boolean inTime = nowMicros < queue.latestSendMicros(request);
         TrackedEndpoint endpoint = inTime ? selector.select(nowMicros, request) : null;
         if (endpoint != null) {
             sender.send(nowMicros, request, endpoint);
-        } else if (maySendAnywhere(nowMicros, request)) {
+        } else if (mayBeSentToAnyEndpoint(nowMicros, request)) {
             enqueue(nowMicros, request);
         } else {
             requests.rejectOrFail(request);
         }
     }
 
-    private boolean maySendAnywhere(long nowMicros, PendingRequest request) {
+    private boolean mayBeSentToAnyEndpoint(long nowMicros, PendingRequest request) {
         for (TrackedEndpoint endpoint : registry.ready()) {
             if (eligibility.maySend(nowMicros, request, endpoint)) {
                 return true;
@@ -63,60 +70,73 @@
         return false;
     }
 
-    /** Queues the request, or gives it up if too little time is left: the next sweep might come after its deadline. */
+    /**
+     * Queues the request, or rejects or fails it if too little time is left, because the next sweep might come after
+     * its deadline.
+     */
     private void enqueue(long nowMicros, PendingRequest request) {
-        if (nowMicros >= queue.lastStartMicros(request)) {
+        if (nowMicros >= queue.latestSendMicros(request)) {
             requests.rejectOrFail(request);
         } else {
             queue.add(request);
         }
     }
 
-    /** Goes through the queue while there is room: sends requests, and gives up those that are too late. */
+    /**
+     * Sends queued requests in order until one finds no endpoint, and rejects or fails those that are too late. Goes on
+     * after a request without an endpoint if only that request's own limits were the cause.
+     */
     void dispatch(long nowMicros) {
-        boolean room = true;
-        for (int i = 0; i < queue.size() && room; i++) {
+        boolean capacityLeft = true;
+        for (int i = 0; i < queue.size() && capacityLeft; i++) {
             PendingRequest request = queue.get(i);
-            if (sendOrEndIfLate(nowMicros, i, selector.select(nowMicros, request))) {
+            if (sendOrFinishIfLate(nowMicros, i, selector.select(nowMicros, request))) {
                 i--;
             } else {
-                room = isRestricted(request);
+                capacityLeft = othersMayBeSent(request);
             }
         }
     }
 
-    /** Goes through the whole queue: sends requests while there is room, and gives up those that are too late. */
+    /**
+     * Checks every queued request: sends it if an endpoint can take it, and rejects or fails it if it is too late. Once
+     * a request has found no endpoint for a reason that also applies to others, only requests with earlier attempts are
+     * still sent.
+     */
     void sweep(long nowMicros) {
         queue.onSweepTimer();
-        boolean room = true;
+        boolean capacityLeft = true;
         for (int i = 0; i < queue.size(); i++) {
             PendingRequest request = queue.get(i);
-            boolean maySend = room || request.hasAttempts();
+            boolean maySend = capacityLeft || request.hasAttempts();
             TrackedEndpoint endpoint = maySend ? selector.select(nowMicros, request) : null;
-            if (sendOrEndIfLate(nowMicros, i, endpoint)) {
+            if (sendOrFinishIfLate(nowMicros, i, endpoint)) {
                 i--;
             } else {
-                room &= isRestricted(request);
+                capacityLeft &= othersMayBeSent(request);
             }
         }
         queue.startSweepTimer();
     }
 
     /**
-     * Whether others may find room where this request does not: it is limited by earlier attempts or its drawn pair.
+     * Returns whether other requests may still be sent although this one found no endpoint, because this one is limited
+     * by its earlier attempts or by the pair of endpoints drawn for it.
      */
-    private boolean isRestricted(PendingRequest request) {
+    private boolean othersMayBeSent(PendingRequest request) {
         return settings.samplesLoad() || request.hasAttempts();
     }
 
     /**
-     * Sends the queued request to the endpoint, or gives it up if there is no endpoint and it is too late.
+     * Sends the queued request to the endpoint; if there is none and the request is too late, rejects or fails it.
      *
-     * @return whether the request has left the queue
+     * @param index position of the request in the queue
+     * @param endpoint the selected endpoint, or null if none was found
+     * @return whether the request was removed from the queue
      */
-    private boolean sendOrEndIfLate(long nowMicros, int index, TrackedEndpoint endpoint) {
+    private boolean sendOrFinishIfLate(long nowMicros, int index, TrackedEndpoint endpoint) {
         PendingRequest request = queue.get(index);
-        if (endpoint == null && nowMicros < queue.lastStartMicros(request)) {
+        if (endpoint == null && nowMicros < queue.latestSendMicros(request)) {
             return false;
         }
         queue.remove(index);
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import loadbalancer.settings.RequestClass;
 
-/** The pending requests, and their final responses: each gets exactly one. */
+/**
+ * Tracks the pending requests and sends their rejections and failures. Each request gets exactly one final response,
+ * unless it expires.
+ */
 final class RequestTracker {
     private final PolicySettings settings;
     private final WorkEstimator work;
@@ -27,14 +30,14 @@
     }
 
     /**
-     * Starts to track a request, and counts its work in the mean.
+     * Starts to track a request, and adds its expected work to the mean work of requests.
      *
-     * @throws IllegalArgumentException if the settings have no such request class
+     * @throws IllegalArgumentException if the settings do not define the request's class
      */
     PendingRequest accept(long nowMicros, Request request) {
         RequestClass requestClass = settings.requestClass(request.requestClassName());
         if (requestClass == null) {
-            throw new IllegalArgumentException("no class '" + request.requestClassName() + "'");
+            throw new IllegalArgumentException("no request class '" + request.requestClassName() + "' in the settings");
         }
         double workMicros = work.workMicros(request);
         work.countArrival(workMicros);
@@ -44,7 +47,7 @@
         return accepted;
     }
 
-    /** The pending request of this id, or null. */
+    /** Returns the pending request with this id, or null if there is none. */
     PendingRequest find(String id) {
         return pending.get(id);
     }
@@ -56,7 +59,7 @@
         }
     }
 
-    /** Ends a request whose client no longer waits. */
+    /** Finishes a request whose client no longer waits, without a final response. */
     void expire(String id) {
         PendingRequest request = pending.get(id);
         if (request != null) {
@@ -64,7 +67,10 @@
         }
     }
 
-    /** Ends a request that can't be served in time: rejects it where no endpoint can have run it, else fails it. */
+    /**
+     * Sends the final response of a request that cannot be served in time: rejects it if no endpoint can have run it,
+     * else fails it. Does nothing if it is finished.
+     */
     void rejectOrFail(PendingRequest request) {
         if (!eligibility.mayReject(request)) {
             fail(request);
@@ -77,7 +83,7 @@
                 request.id(), Math.min(retryAfterMicros, settings.limits().maxRetryAfterMicros()));
     }
 
-    /** Sends the final response that the request has failed, unless it is finished. */
+    /** Fails the request, unless it is finished. */
     void fail(PendingRequest request) {
         if (!request.isFinished()) {
             finish(request);
@@ -85,7 +91,7 @@
         }
     }
 
-    /** Notes that a request needs no further decision; it stays tracked until its last attempt has ended. */
+    /** Marks a request as needing no further decision. It stays tracked until its last attempt has ended. */
     void finish(PendingRequest request) {
         request.markFinished();
         queue.remove(request);
--- a/src/main/java/loadbalancer/decision/TimerNames.java
+++ b/src/main/java/loadbalancer/decision/TimerNames.java
@@ -1,16 +1,16 @@
 package loadbalancer.decision;
 
-/** Names of the timers that the decision module starts; the host passes them back when a timer is due. */
+/** Names of the timers that the decision module starts; the host passes the name back when a timer is due. */
 final class TimerNames {
-    /** Checks the request queue. */
+    /** Starts a sweep of the request queue. */
     static final String QUEUE_SWEEP = "queue-sweep";
     /** Sends gossip to other sidecars. */
     static final String GOSSIP = "gossip";
     /** Polls discovery again after a failed call. */
     static final String DISCOVERY_RETRY = "discovery-retry";
-    /** Followed by a request's id: its attempt is overdue. */
+    /** Prefix, followed by a request id: an attempt of the request is overdue. */
     static final String ATTEMPT_OVERDUE = "attempt-overdue:";
-    /** Followed by a request's id: the health check for its overdue attempt should have been answered. */
+    /** Prefix, followed by a request id: the health check for its overdue attempt should have been answered by now. */
     static final String HEALTH_CHECK_DUE = "health-check-due:";
 
     private TimerNames() {}
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -18,7 +18,7 @@
     final SpeedEstimator.Deviation deviation = new SpeedEstimator.Deviation();
     final LoadEstimator.ReportedLoad reportedLoad = new LoadEstimator.ReportedLoad();
     final OutlierDetector.Health health = new OutlierDetector.Health();
-    final HealthChecks.Progress healthChecks = new HealthChecks.Progress();
+    final HealthChecks.CheckTimes healthChecks = new HealthChecks.CheckTimes();
     final IdleConnectionPolicy.ConnectionUse connections = new IdleConnectionPolicy.ConnectionUse();
     final SlowStartBudget.SentWork slowStartWork = new SlowStartBudget.SentWork();
 
--- a/src/main/java/loadbalancer/decision/package-info.java
+++ b/src/main/java/loadbalancer/decision/package-info.java
@@ -6,7 +6,7 @@
  * <p>{@link loadbalancer.decision.LoadBalancer} is the interface for events,
  * {@link loadbalancer.decision.LoadBalancerActions} the one for actions.
  * {@link loadbalancer.decision.LoadBalancingPolicy} hands each event to the part that decides on it; the parts are
- * wired in {@code Estimators}, {@code EndpointRouting} and {@code RequestHandling}.
+ * wired in {@code Estimators}, {@code EndpointRouting} and {@code RequestComponents}.
  *
  * <p>The state that a rule keeps for each endpoint is a class nested in the rule's class, so that no other class can
  * write it. The remaining fields of an endpoint or a request have setters that name the one class that calls them.
