--- a/src/main/java/loadbalancer/decision/AdmissionControl.java
+++ b/src/main/java/loadbalancer/decision/AdmissionControl.java
@@ -28,8 +28,9 @@
     }
 
     /**
-     * Returns whether to shed the request; always false if the fleet's capacity is 0. Draws a random number unless the
-     * capacity is 0.
+     * Returns whether to shed the request; always false if the fleet's capacity is 0. Compares the expected wait with
+     * the shortest latency objective of the classes of the highest priority, multiplied by the square root of the
+     * request's relative priority. Draws a random number unless the capacity is 0.
      */
     boolean shouldShed(long nowMicros, PendingRequest request) {
         double capacity = routingTable.capacityPerSecond();
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -11,7 +11,10 @@
 final class Attempt {
     /** An attempt is overdue after this many times its forecast time, because its endpoint may have stalled. */
     static final double OVERDUE_RATIO = 1.5;
-    /** An overtaken attempt is presumed lost after this many times its forecast time. */
+    /**
+     * An overtaken attempt is presumed lost after this many times its forecast time. An endpoint counts as responding
+     * if its last response is not older than that.
+     */
     private static final double PRESUMED_LOST_RATIO = 6;
 
     private final PendingRequest request;
--- a/src/main/java/loadbalancer/decision/AttemptEligibility.java
+++ b/src/main/java/loadbalancer/decision/AttemptEligibility.java
@@ -47,8 +47,9 @@
     }
 
     /**
-     * Returns whether the endpoint may be sent a request again that an earlier attempt may have executed. The answer
-     * depends on the idempotency, the deduplication scope and the deduplication window of the request class.
+     * Returns whether sending the request to the endpoint again has no further effect if the endpoint of the earlier
+     * attempt has executed it. The answer depends on the idempotency, the deduplication scope and the deduplication
+     * window of the request class.
      */
     boolean isSafeToRepeat(Attempt earlier, TrackedEndpoint endpoint, long nowMicros) {
         RequestClass requestClass = earlier.request().requestClass();
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Sends the final response of a request that cannot be served in time: rejects it if no endpoint can have run it,
-     * else fails it. Does nothing if it is finished.
+     * Sends the final response of a request that cannot be served in time: rejects it if no endpoint can have executed
+     * it, else fails it. Does nothing if it is finished.
      */
     void rejectOrFail(PendingRequest request) {
         if (!eligibility.mayReject(request)) {
--- a/src/test/java/loadbalancer/decision/AdmissionControlTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionControlTest.java
@@ -7,14 +7,17 @@
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Load that cannot be served within the latency objective is shed, and no other. */
+/** Tests that requests are shed if, and only if, the fleet cannot serve them within the latency objective. */
 class AdmissionControlTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
-    /** A few slow responses say little of the fleet: an endpoint that is idle, as far as known, gets the request. */
+    /**
+     * A few slow responses say little about the load of the fleet. They must not cause rejections while the endpoints
+     * are idle as far as the sidecar knows.
+     */
     @Test
-    void slowResponsesAloneCauseNoRejection() {
+    void forwardsRequestsDespiteSlowResponses() {
         for (int sidecarCount : new int[] {4, 14, 400}) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.sidecarCount = sidecarCount;
@@ -31,17 +34,20 @@
         }
     }
 
-    /** Local requests say nothing of a queue that other sidecars fill: gossip does. */
+    /** A sidecar's own requests do not show a queue that other sidecars have filled; gossip shows it. */
     @Test
     void shedsLoadThatTheFleetCannotServeInTime() {
         PolicyFixture fixture = PolicyFixture.oneOfFourteen();
-        assertEquals(0, rejectedOfFortyRequests(fixture), "no gossip yet");
+        assertEquals(0, rejectedOfFortyRequests(fixture), "rejections before the first gossip");
         fixture.gossipFromThirteenSidecars(10, 0.1);
-        assertEquals(0, rejectedOfFortyRequests(fixture), "little is in flight");
+        assertEquals(0, rejectedOfFortyRequests(fixture), "rejections while little is in flight");
         fixture.gossipFromThirteenSidecars(100, 20);
-        assertEquals(40, rejectedOfFortyRequests(fixture), "far more is in flight than can be served in time");
+        assertEquals(
+                40,
+                rejectedOfFortyRequests(fixture),
+                "rejections while far more is in flight than can be served in time");
         fixture.advance(10_000_000);
-        assertEquals(0, rejectedOfFortyRequests(fixture), "gossip expires");
+        assertEquals(0, rejectedOfFortyRequests(fixture), "rejections after the gossip has expired");
     }
 
     @Test
@@ -54,7 +60,7 @@
         assertEquals(0, rejectedOfFortyRequests(fixture));
     }
 
-    /** Rejections of 40 requests, 100 ms apart, that are served at once where they are forwarded. */
+    /** Returns how many of 40 requests, 100 ms apart, are rejected. Each forwarded one is answered after 20 ms. */
     private static int rejectedOfFortyRequests(PolicyFixture fixture) {
         fixture.clearActions();
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
+++ b/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
@@ -10,13 +10,13 @@
 import loadbalancer.settings.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** Which requests may be retried, and to which endpoints. */
+/** Tests which requests may be retried, and on which endpoints. */
 class AttemptEligibilityTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void nonIdempotentRequestFailsOnceItMayHaveRun() {
+    void failsNonIdempotentRequestThatMayHaveRun() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
         fixture.start().listed(A, B).request("r").advance(10_000);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void nonIdempotentRequestIsRetriedIfItNeverRan() {
+    void retriesNonIdempotentRequestThatCannotHaveRun() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
         fixture.start().listed(A, B).request("r").advance(10_000);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void keyedRetryStaysInTheZoneThatDeduplicates() {
+    void sendsRetryWithIdempotencyKeyOnlyToSameZone() {
         for (int seed = 0; seed < 20; seed++) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.seed = seed;
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void keyedRetryStaysInItsCellAndDeduplicationWindow() {
+    void sendsRetryWithIdempotencyKeyOnlyToSameCellWithinWindow() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
         fixture.deduplicationScope = DeduplicationScope.CELL;
@@ -80,26 +80,33 @@
                 .advance(10_000)
                 .outcome("r", 0, afterWindow.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
         assertNull(afterWindow.endpointOf("r", 1));
-        // It may have run, and no endpoint deduplicates a retry any more: a rejection would promise too much.
+        // The request may have run, and no endpoint would deduplicate a retry any more. It must not be rejected either,
+        // because a rejection promises that no endpoint has executed the request.
         assertEquals(1, afterWindow.failureCount("r"));
         assertTrue(afterWindow.rejectedRequests().isEmpty());
     }
 
-    /** A retry that needs a new connection arrives later than it is sent; the window still applies to its arrival. */
+    /**
+     * The deduplication window applies to the arrival of a retry, which may be later than its sending by the time of a
+     * connect. A retry that would only be sent within the window could run a second time.
+     */
     @Test
-    void keyedRetryArrivesWithinTheWindowDespiteASlowConnect() {
+    void retriesOnlyIfDeduplicationWindowLeavesTimeToConnect() {
         for (long windowMicros : new long[] {259_000, 261_000}) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
             fixture.deduplicationWindowMicros = windowMicros;
             fixture.start().listed(A, B).request("r").advance(10_000);
             fixture.outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
-            assertEquals(windowMicros > 260_000, fixture.endpointOf("r", 1) != null, "window " + windowMicros);
+            assertEquals(
+                    windowMicros > 260_000,
+                    fixture.endpointOf("r", 1) != null,
+                    "deduplication window in microseconds: " + windowMicros);
         }
     }
 
     @Test
-    void makesNoMoreThanTheMaximumNumberOfAttempts() {
+    void limitsNumberOfAttempts() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.maxAttempts = 2;
         fixture.start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3)).request("r");
--- a/src/test/java/loadbalancer/decision/DeterminismTest.java
+++ b/src/test/java/loadbalancer/decision/DeterminismTest.java
@@ -6,26 +6,29 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The same settings, seed and events give the same actions. */
+/**
+ * Tests that the same settings, seed and events give the same actions. State that instances of the policy share, for
+ * example a static field, would break this.
+ */
 class DeterminismTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void sameEventsGiveSameActionsBesideOtherInstances() {
+    void repeatsActionsForSameEventsBesideOtherInstance() {
         PolicyFixture alone = new PolicyFixture().start().listed(A, B);
-        play(alone, 0, 200);
-        PolicyFixture one = new PolicyFixture().start().listed(A, B);
-        PolicyFixture two = new PolicyFixture().start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
+        sendEvents(alone, 0, 200);
+        PolicyFixture first = new PolicyFixture().start().listed(A, B);
+        PolicyFixture second = new PolicyFixture().start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
         for (int i = 0; i < 200; i += 10) {
-            play(one, i, i + 10);
-            play(two, i, i + 10);
+            sendEvents(first, i, i + 10);
+            sendEvents(second, i, i + 10);
         }
-        assertEquals(alone.actions(), one.actions());
-        assertNotEquals(one.actions(), two.actions());
+        assertEquals(alone.actions(), first.actions());
+        assertNotEquals(first.actions(), second.actions());
     }
 
-    private static void play(PolicyFixture fixture, int from, int to) {
+    private static void sendEvents(PolicyFixture fixture, int from, int to) {
         for (int i = from; i < to; i++) {
             fixture.advance(3_000).request("r" + i);
             if (i % 3 == 0 && fixture.endpointOf("r" + i, 0) != null) {
--- a/src/test/java/loadbalancer/decision/DiscoveryPollerTest.java
+++ b/src/test/java/loadbalancer/decision/DiscoveryPollerTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Polled discovery is called at once, and again with backoff after failures. */
+/** Tests that discovery is polled at the start, and again with backoff after failed calls. */
 class DiscoveryPollerTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
 
     @Test
-    void pollsAtOnceAndAgainAfterAFailure() {
+    void pollsAtStartAndAgainAfterFailure() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.polledDiscovery = true;
         fixture.start();
@@ -25,9 +25,12 @@
         assertEquals(2, fixture.pollCount());
     }
 
-    /** The next call comes soon enough after discovery recovers, and calls do not flood it meanwhile. */
+    /**
+     * A backoff that grows without limit would delay the first call after discovery recovers; one that is too short
+     * would flood discovery with calls.
+     */
     @Test
-    void backoffStaysWithinBoundsHoweverLongDiscoveryFails() {
+    void keepsBackoffWithinBoundsDuringLongOutage() {
         for (int seed = 0; seed < 20; seed++) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.polledDiscovery = true;
@@ -38,7 +41,8 @@
                 fixture.endpointList(EndpointListType.FAILED);
                 long delayMicros = fixture.timerDelaysMicros(DISCOVERY_TIMER).get(0);
                 assertTrue(
-                        delayMicros >= 250_000 && delayMicros <= 1_500_000, "polls again after " + delayMicros + " us");
+                        delayMicros >= 250_000 && delayMicros <= 1_500_000,
+                        "delay before the next poll: " + delayMicros + " us");
                 fixture.advance(delayMicros).fire(DISCOVERY_TIMER);
                 assertEquals(1, fixture.pollCount());
             }
--- a/src/test/java/loadbalancer/decision/FinalResponseTest.java
+++ b/src/test/java/loadbalancer/decision/FinalResponseTest.java
@@ -11,13 +11,13 @@
 import loadbalancer.settings.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** A request gets exactly one final response: forwarded, rejected or failed. */
+/** Tests that a request gets exactly one final response: a forwarded one, a rejection or a failure. */
 class FinalResponseTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void rejectsBeforeTheDeadlineWithoutAnyEndpoint() {
+    void rejectsBeforeDeadlineWithoutEndpoints() {
         PolicyFixture fixture = new PolicyFixture().start();
         fixture.request("r");
         for (int i = 0; i < 100; i++) {
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void failsAfterATimeoutAtTheDeadline() {
+    void failsAfterTimeoutAtDeadline() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
         fixture.deduplicationScope = DeduplicationScope.ZONE;
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void neitherRetriesNorRespondsAfterTheClientHasLeft() {
+    void doesNotRetryOrRespondAfterClientHasLeft() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
         fixture.request("r");
         fixture.expire("r");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void startedStreamGetsNeitherRetryNorSecondResponse() {
+    void doesNotRetryOrRespondAfterStreamHasStarted() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.streaming = true;
         fixture.start().listed(A, B).request("r");
@@ -67,9 +67,9 @@
                 fixture.failedRequests().isEmpty() && fixture.rejectedRequests().isEmpty());
     }
 
-    /** A rejection promises that nothing has run, so that the client may retry. */
+    /** A rejection promises that no endpoint has executed the request, so that the client may retry it. */
     @Test
-    void rejectsOnlyWhatCannotHaveRun() {
+    void rejectsOnlyRequestsThatCannotHaveRun() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {
             AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.REJECTED
         }) {
@@ -85,9 +85,9 @@
         }
     }
 
-    /** Every endpoint would reject it, and none is at fault. */
+    /** Every endpoint would refuse an invalid request, so a retry is useless, and no endpoint is ejected for it. */
     @Test
-    void invalidRequestFailsWithoutRetry() {
+    void failsInvalidRequestWithoutRetry() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
         for (int i = 0; i < 6; i++) {
             fixture.request("r" + i)
--- a/src/test/java/loadbalancer/decision/GossipMessageTest.java
+++ b/src/test/java/loadbalancer/decision/GossipMessageTest.java
@@ -9,6 +9,7 @@
 import loadbalancer.decision.GossipMessage.MachineTypeSample;
 import org.junit.jupiter.api.Test;
 
+/** Tests the encoding and decoding of gossip messages. */
 class GossipMessageTest {
     private static final List<MachineTypeSample> MACHINE_TYPES =
             List.of(new MachineTypeSample(1.5, 3.5, 0), new MachineTypeSample(0.25, 0, 40));
@@ -18,7 +19,7 @@
     }
 
     @Test
-    void isDecodedAsItWasEncoded() {
+    void decodesEncodedMessage() {
         GossipMessage decoded = GossipMessage.decode(message(604.5, 128).encode(), 2);
         assertNotNull(decoded);
         assertEquals(1, decoded.zoneIndex());
@@ -29,7 +30,7 @@
     }
 
     @Test
-    void bytesOfAnotherLengthAreNoMessage() {
+    void returnsNullForWrongLength() {
         byte[] bytes = message(604.5, 128).encode();
         for (int length = 0; length < 2 * bytes.length; length++) {
             GossipMessage decoded = GossipMessage.decode(Arrays.copyOf(bytes, length), 2);
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void valuesThatAreTooLargeAreEncodedAsTheLargest() {
+    void encodesTooLargeValuesAsLargest() {
         GossipMessage decoded = GossipMessage.decode(message(1e9, 1e9).encode(), 2);
         assertNotNull(decoded);
         assertEquals(65_535, decoded.inFlight());
--- a/src/test/java/loadbalancer/decision/GossipStateTest.java
+++ b/src/test/java/loadbalancer/decision/GossipSenderTest.java
@@ -8,27 +8,32 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What sidecars send to one another, and to how many. */
-class GossipStateTest {
+/** Tests the content and the receivers of sent gossip, and that malformed gossip is ignored. */
+class GossipSenderTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
-    /** Clients wait for a sidecar that restarts: its first request comes at once, the next ones at their usual rate. */
+    /**
+     * Clients wait while a sidecar restarts, so its first request arrives right after the start, and the next ones at
+     * the usual rate. A rate measured over the short time before the first request would be far too high.
+     */
     @Test
-    void firstRequestAfterTheStartDoesNotInflateTheSentRate() {
+    void doesNotInflateSentRateAfterStart() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.start().listed(A, B);
         fixture.advance(20).request("first");
         for (int i = 0; i < 10; i++) {
             fixture.advance(i == 0 ? 99_980 : 100_000).request("r" + i);
             fixture.fire(GOSSIP_TIMER);
-            assertTrue(fixture.lastGossipRate() < 30, "ten a second, and sent are " + fixture.lastGossipRate());
+            assertTrue(
+                    fixture.lastGossipRate() < 30,
+                    "10 requests per second arrive, but the sent rate is " + fixture.lastGossipRate());
         }
         assertEquals(10, fixture.lastGossipRate(), 3);
     }
 
     @Test
-    void sendsToAllSidecarsIfTheTrafficPaysForIt() {
+    void sendsToAllSidecarsIfTrafficJustifiesPrice() {
         PolicyFixture fixture = PolicyFixture.oneOfFourteen();
         for (int i = 0; i < 400; i++) {
             fixture.advance(5_000).request("r" + i);
@@ -38,9 +43,9 @@
         assertEquals(1, fixture.gossipTargets().size());
     }
 
-    /** Gossip has a price: a quiet fleet sends little of it, and never to the sender itself. */
+    /** Gossip has a price, so a fleet with little traffic sends little of it. No sidecar sends gossip to itself. */
     @Test
-    void sendsToOneSidecarAtATimeInAQuietFleet() {
+    void sendsToOneSidecarPerIntervalIfTrafficIsLow() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.sidecarCount = 500;
         fixture.start().listed(A, B).fire(GOSSIP_TIMER);
--- a/src/test/java/loadbalancer/decision/HedgingPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/HedgingPolicyTest.java
@@ -8,13 +8,13 @@
 import loadbalancer.settings.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** When a request gets a further attempt while the first is in flight. */
+/** Tests when a request gets a second attempt while the first is in flight. */
 class HedgingPolicyTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void hedgedAttemptIsSentOnlyIfTheSettingsAllowIt() {
+    void permitsSecondAttemptInFlightOnlyIfSettingsAllowHedging() {
         for (boolean hedging : new boolean[] {false, true}) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.hedging = hedging;
@@ -25,11 +25,11 @@
     }
 
     /**
-     * A stall shows when the endpoint of an overdue attempt does not reply to a health check: then a hedged request is
-     * sent.
+     * An endpoint that does not reply to the health check for an overdue attempt has probably stalled; only then is the
+     * request hedged. A request that is not idempotent is never hedged, because it could run twice.
      */
     @Test
-    void hedgesAnOverdueAttemptOnlyIfItsEndpointIsUnresponsive() {
+    void hedgesOverdueAttemptOnlyIfEndpointIsUnresponsive() {
         for (boolean unresponsive : new boolean[] {true, false}) {
             for (Idempotency idempotency : new Idempotency[] {Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT}) {
                 PolicyFixture fixture = new PolicyFixture();
@@ -37,7 +37,7 @@
                 fixture.idempotency = idempotency;
                 fixture.start().listed(A, B);
                 for (int i = 0; i < 20; i++) {
-                    // Earns the budget of a hedged request and reports both endpoints idle.
+                    // Fills the budget for a hedged request, and reports that both endpoints are idle.
                     fixture.request("w" + i).advance(1_000);
                     for (String id : new String[] {"a", "b"}) {
                         fixture.healthCheckReply(id, new LoadReport(0, 0, 0));
--- a/src/test/java/loadbalancer/decision/IdleConnectionPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/IdleConnectionPolicyTest.java
@@ -5,30 +5,30 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Idle connections are closed when their endpoint leaves, or before a use that would likely fail. */
+/** Tests that idle connections are closed when their endpoint drains, or before a send that would probably fail. */
 class IdleConnectionPolicyTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void closesIdleConnectionsAtADrainAndAfterEachLaterOutcomeIfConfigured() {
-        for (long withinMicros : new long[] {0, 500_000}) {
+    void closesIdleConnectionsOfDrainingEndpointIfConfigured() {
+        for (long closeOnDrainMicros : new long[] {0, 500_000}) {
             PolicyFixture fixture = new PolicyFixture();
-            fixture.closeOnDrainMicros = withinMicros;
+            fixture.closeOnDrainMicros = closeOnDrainMicros;
             fixture.start().listed(A).request("r").request("s");
             fixture.endpointList(EndpointListType.DELTA, PolicyFixture.withState(A, EndpointState.DRAINING));
-            assertEquals(withinMicros > 0 ? 1 : 0, fixture.closeCount("a"));
+            assertEquals(closeOnDrainMicros > 0 ? 1 : 0, fixture.closeCount("a"));
             fixture.advance(50_000).outcome("r", 0, "a", AttemptOutcome.OK, 50_000);
-            assertEquals(withinMicros > 0 ? 2 : 0, fixture.closeCount("a"));
-            // It comes back: no more closing.
+            assertEquals(closeOnDrainMicros > 0 ? 2 : 0, fixture.closeCount("a"));
+            // The endpoint is ready again, so its connections are no longer closed.
             fixture.endpointList(EndpointListType.DELTA, A);
             fixture.advance(50_000).outcome("s", 0, "a", AttemptOutcome.OK, 100_000);
-            assertEquals(withinMicros > 0 ? 2 : 0, fixture.closeCount("a"));
+            assertEquals(closeOnDrainMicros > 0 ? 2 : 0, fixture.closeCount("a"));
         }
     }
 
     @Test
-    void closesConnectionsOfAnUnlistedEndpointOnlyIfUsed() {
+    void closesConnectionsOfUnlistedEndpointOnlyIfUsed() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.closeOnDrainMicros = 500_000;
         fixture.start().listed(A, B).request("r");
@@ -38,10 +38,11 @@
     }
 
     /**
-     * A connection dropped while idle fails at its next use: this shows the idle timeout, not a fault of the endpoint.
+     * A connection that the network has dropped while it was idle fails at its next use. The failure shows the idle
+     * timeout of the network, not a fault of the endpoint.
      */
     @Test
-    void closesLongIdleConnectionsBeforeUseOnceOneWasDropped() {
+    void closesLongIdleConnectionsBeforeUseAfterOneWasDropped() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.connectionPrice = 0.05;
         fixture.start().listed(A).request("r0").advance(75_000).outcome("r0", 0, "a", AttemptOutcome.OK, 75_000);
@@ -55,6 +56,6 @@
                 .outcome("r2", 0, "a", AttemptOutcome.OK, 75_000)
                 .advance(500_000)
                 .request("r3");
-        assertEquals(1, fixture.closeCount("a"), "hardly idle: kept");
+        assertEquals(1, fixture.closeCount("a"), "a connection that was idle for 500 ms stays open");
     }
 }
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -13,14 +13,14 @@
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that fail are ejected for a time; isolated failures eject none. */
+/** Tests that failing endpoints are ejected for a time, and that an isolated failure ejects no endpoint. */
 class OutlierDetectorTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
-    /** One request without a response says nothing of an endpoint that has answered later ones. */
+    /** One request without a response says nothing about an endpoint that has responded to later ones. */
     @Test
-    void oneLostRequestDoesNotEjectARespondingEndpoint() {
+    void doesNotEjectRespondingEndpointAfterOneLostRequest() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
@@ -38,9 +38,9 @@
         assertEquals("a", fixture.endpointOf("s", 0));
     }
 
-    /** Without any response an endpoint counts as stalled, and new requests wait or go to another one. */
+    /** An endpoint that does not respond at all counts as stalled; new requests are queued or sent to another one. */
     @Test
-    void stalledEndpointGetsNothingNew() {
+    void sendsNoFurtherRequestToStalledEndpoint() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
         fixture.start().listed(A);
@@ -52,21 +52,24 @@
         assertNull(fixture.endpointOf("r", 0));
     }
 
-    /** Failures of all endpoints say little of any one: with all ejected nothing would be served. */
+    /** Failures of all endpoints say little about a single one, and if all were ejected, no request would be served. */
     @Test
-    void panicModeIgnoresEjectionsIfMostEndpointsFail() {
+    void ignoresEjectionsIfMostEndpointsFail() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B).request("r");
         for (int attempt = 0; attempt < 2; attempt++) {
             fixture.outcome("r", attempt, fixture.endpointOf("r", attempt), AttemptOutcome.CONNECT_FAILED, 1_000);
         }
         assertEquals(2, fixture.attemptCount());
         fixture.advance(150_000).fire(SWEEP_TIMER).request("s");
-        assertTrue(fixture.attemptCount() > 2, "all are ejected");
+        assertTrue(fixture.attemptCount() > 2, "no attempt was sent after both endpoints had failed");
     }
 
-    /** A rare malformed response is the fault of the network; an endpoint that sends only such is ejected. */
+    /**
+     * An isolated malformed response is attributed to the network. An endpoint that sends nothing but malformed
+     * responses is ejected, but only after twice as many as of other failures.
+     */
     @Test
-    void malformedResponseWeighsHalfAFailure() {
+    void countsMalformedResponseAsHalfFailure() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
         List<String> selected = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -84,18 +87,21 @@
             fixture.advance(10_000);
         }
         long onA = selected.stream().filter("a"::equals).count();
-        assertTrue(onA >= 4 && onA <= 5, onA + " of " + selected.size());
+        assertTrue(onA >= 4 && onA <= 5, onA + " attempts were sent to a, of a total of " + selected.size());
     }
 
-    /** A drain that the endpoint list does not show yet appears as rejections by an endpoint with little load. */
+    /** An endpoint that drains before the endpoint list says so rejects requests although it has little load. */
     @Test
-    void rejectionByAnIdleEndpointEjectsIt() {
+    void ejectsIdleEndpointAfterRejection() {
         assertEjectedAfter(AttemptOutcome.REJECTED, 30_000);
     }
 
-    /** It serves the rest: ejected for seconds after each rejection, it would serve next to nothing. */
+    /**
+     * An endpoint that rejects some requests serves the others. If each rejection ejected it for seconds, it would
+     * serve almost none.
+     */
     @Test
-    void endpointThatRejectsSomeRequestsIsNotEjected() {
+    void doesNotEjectEndpointThatRejectsSomeRequests() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
         fixture.start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
@@ -107,7 +113,7 @@
             }
             fixture.advance(5_000);
             for (String id : ids) {
-                // Every other request to it is rejected.
+                // Endpoint a rejects every second request.
                 if (fixture.endpointOf(id, 0).equals("a") && sent++ % 2 == 1) {
                     fixture.outcome(id, 0, "a", AttemptOutcome.REJECTED, 5_000);
                 }
@@ -118,17 +124,17 @@
                 fixture.outcome(id, last, fixture.endpointOf(id, last), AttemptOutcome.OK, 24_000);
             }
         }
-        assertTrue(sent >= 30, "only " + sent + " of 180 were sent to it");
+        assertTrue(sent >= 30, "only " + sent + " of 180 requests were sent to endpoint a");
     }
 
     @Test
-    void failedConnectEjectsTheEndpointForAWhile() {
+    void ejectsEndpointAfterFailedConnect() {
         assertEjectedAfter(AttemptOutcome.CONNECT_FAILED, 1_000);
     }
 
-    /** On a bad network single connections fail; a process that has died shows in the next ones too. */
+    /** On a bad network, single connects fail. If the process of the endpoint has died, the next connects fail too. */
     @Test
-    void oneFailedConnectDoesNotEjectARespondingEndpoint() {
+    void doesNotEjectRespondingEndpointAfterOneFailedConnect() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
         fixture.start().listed(A);
@@ -143,14 +149,14 @@
         assertNull(fixture.endpointOf("r", 4));
     }
 
-    private static void assertEjectedAfter(AttemptOutcome outcome, long stepMicros) {
+    private static void assertEjectedAfter(AttemptOutcome outcome, long intervalMicros) {
         PolicyFixture fixture =
                 new PolicyFixture().start().listed(A, B).request("r").advance(1_000);
         String ejected = fixture.endpointOf("r", 0);
         fixture.outcome("r", 0, ejected, outcome, 1_000);
         fixture.outcome("r", 1, fixture.endpointOf("r", 1), AttemptOutcome.OK, 50_000);
         for (int i = 0; i < 10; i++) {
-            fixture.advance(stepMicros).request("n" + i);
+            fixture.advance(intervalMicros).request("n" + i);
             assertNotNull(fixture.endpointOf("n" + i, 0));
             assertNotEquals(ejected, fixture.endpointOf("n" + i, 0));
             fixture.outcome("n" + i, 0, fixture.endpointOf("n" + i, 0), AttemptOutcome.OK, 50_000);
