--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -7,12 +7,12 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
- * Pauses and resumes accepting connections on one listener, and computes an upper bound on how long a connection waited
- * in the operating system's accept backlog. That wait counts against the deadline of the connection's first request. A
- * handler on the listener's pipeline; confined to the event loop.
+ * Pauses and resumes accepting connections on one listener, and computes an upper bound on the time that a connection
+ * waited in the operating system's accept backlog. That time counts against the deadline of the connection's first
+ * request. It is a handler in the listener's pipeline. Confined to the event loop.
  */
 final class AcceptBacklog extends ChannelInboundHandlerAdapter {
-    /** The most connections that Netty accepts in one read of a listener. */
+    /** The maximum number of connections that Netty accepts in one read of a listener. */
     private static final int MAX_ACCEPTS_PER_READ = 16;
 
     private static final long NEVER = 0;
@@ -20,9 +20,15 @@
     private final ReadTrackingEventLoop eventLoop;
     private Channel listener;
     private int acceptedInRead;
-    /** When connections may have begun to wait in the backlog; {@link #NEVER} if none can be waiting. */
-    private long pausedMicros = NEVER;
-    /** When accepting was last resumed, or last read a full batch; {@link #NEVER} while accepting is paused. */
+    /**
+     * The earliest time at which connections can have begun to wait in the backlog; {@link #NEVER} if none can be
+     * waiting.
+     */
+    private long waitingSinceMicros = NEVER;
+    /**
+     * When accepting was last resumed, or when a read last accepted {@link #MAX_ACCEPTS_PER_READ} connections;
+     * {@link #NEVER} while accepting is paused.
+     */
     private long resumedMicros = NEVER;
 
     AcceptBacklog(ReadTrackingEventLoop eventLoop) {
@@ -47,26 +53,29 @@
         long nowMicros = eventLoop.clock().nowMicros();
         if (accepting) {
             resumedMicros = nowMicros;
-            // Wakes the loop so that it reads all sockets; only then is it known whether any connection was waiting.
+            // Wakes the loop so that it reads all sockets; until then it is not known whether a connection was waiting.
             eventLoop.nettyEventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
         } else {
-            forgetPauseOnceRead();
-            pausedMicros = pausedMicros == NEVER ? nowMicros : pausedMicros;
+            resetWaitIfSocketsRead();
+            waitingSinceMicros = waitingSinceMicros == NEVER ? nowMicros : waitingSinceMicros;
             resumedMicros = NEVER;
         }
     }
 
-    /** The longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
+    /** Returns the longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
     long maxWaitMicros() {
-        forgetPauseOnceRead();
-        return pausedMicros == NEVER ? 0 : eventLoop.clock().nowMicros() - pausedMicros;
+        resetWaitIfSocketsRead();
+        return waitingSinceMicros == NEVER ? 0 : eventLoop.clock().nowMicros() - waitingSinceMicros;
     }
 
-    /** The first read of all sockets after accepting was resumed has accepted every connection that was waiting. */
-    private void forgetPauseOnceRead() {
+    /**
+     * Resets {@link #waitingSinceMicros} after the first read of all sockets since accepting was resumed, because that
+     * read has accepted every connection that was waiting.
+     */
+    private void resetWaitIfSocketsRead() {
         boolean readSinceResumed = resumedMicros != NEVER && eventLoop.lastReadMicros() > resumedMicros;
         if (readSinceResumed) {
-            pausedMicros = NEVER;
+            waitingSinceMicros = NEVER;
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -21,12 +21,12 @@
 import loadbalancer.proxy.protocol.HeaderValues;
 
 /**
- * One connection of a client: handles its requests one at a time and writes one response to each, in the order in which
- * the requests came. The last handler of the connection's pipeline; confined to the event loop.
+ * One connection of a client. Handles the requests one at a time, in the order in which they were received, and writes
+ * one response to each. It is the last handler in the pipeline of its channel. Confined to the event loop.
  *
- * <p>Input that cannot be read as a request gets an error response after the responses that are still pending, and the
- * connection closes. A client that closes the connection, or only its sending side, has disconnected: its request ends
- * without a response.
+ * <p>For input that cannot be decoded as a request, an error response is written after the responses that are still
+ * pending; then the connection closes. A client that closes the connection, or only its sending side, counts as
+ * disconnected: its request ends without a response.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final String READINESS_PATH = "/health/ready";
@@ -46,7 +46,7 @@
     private final MonotonicClock clock;
     private final RequestDispatcher dispatcher;
     private final RequestExchangeFactory exchangeFactory;
-    private final ClientServer server;
+    private final SidecarHttpServer server;
     private final ConnectionActivity activity;
     private final PipelinedRequests pipelinedRequests = new PipelinedRequests();
     private State state = State.AWAITING_REQUEST;
@@ -54,24 +54,27 @@
     private RequestExchange currentExchange;
     /** Whether the server counts this connection as idle (kept open between two requests). */
     private boolean countedAsIdle;
-    /** The error to respond with after all pending responses, before closing; null while the input is valid. */
+    /**
+     * The status of the error response that is written after all pending responses, before closing; null while the
+     * input is valid.
+     */
     private HttpResponseStatus inputError;
 
-    /** {@code backlogWaitMicros} is how long the connection waited, at most, to be accepted. */
+    /** {@code maxBacklogWaitMicros} is the longest time that the connection can have waited in the accept backlog. */
     ClientConnection(
             Channel channel,
             ReadTrackingEventLoop eventLoop,
             RequestDispatcher dispatcher,
             RequestExchangeFactory exchangeFactory,
-            ClientServer server,
-            long backlogWaitMicros) {
+            SidecarHttpServer server,
+            long maxBacklogWaitMicros) {
         this.channel = channel;
         this.eventLoop = eventLoop;
         clock = eventLoop.clock();
         this.dispatcher = dispatcher;
         this.exchangeFactory = exchangeFactory;
         this.server = server;
-        activity = new ConnectionActivity(clock.nowMicros(), backlogWaitMicros);
+        activity = new ConnectionActivity(clock.nowMicros(), maxBacklogWaitMicros);
     }
 
     void addHandlers() {
@@ -101,21 +104,23 @@
         FullHttpRequest request = (FullHttpRequest) message;
         if (!request.decoderResult().isSuccess()) {
             request.release();
-            endInput(HttpResponseStatus.BAD_REQUEST);
+            rejectInput(HttpResponseStatus.BAD_REQUEST);
             return;
         }
         // If the event loop is late, the bytes arrived before they were read.
         long sentMicros = activity.lastActivityMicros() - eventLoop.currentLagMicros();
-        pipelinedRequests.add(new ReceivedRequest(request, sentMicros, activity.requestBacklogWaitMicros()));
+        pipelinedRequests.add(new ReceivedRequest(request, sentMicros, activity.maxRequestBacklogWaitMicros()));
         activity.requestReceived();
         handlePipelinedRequests();
         if (pipelinedRequests.exceedsLimit()) {
-            endInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            rejectInput(HttpResponseStatus.SERVICE_UNAVAILABLE);
         }
     }
 
-    /** Stops reading requests. The error is written after the pending responses; then the connection closes. */
-    private void endInput(HttpResponseStatus error) {
+    /**
+     * Accepts no further requests. Writes the error response after the pending responses, then closes the connection.
+     */
+    private void rejectInput(HttpResponseStatus error) {
         if (inputError == null) {
             inputError = error;
             handlePipelinedRequests();
@@ -123,16 +128,16 @@
     }
 
     private void handlePipelinedRequests() {
-        while (canRespondToNext() && !pipelinedRequests.isEmpty()) {
+        while (isReadyForNextRequest() && !pipelinedRequests.isEmpty()) {
             handle(pipelinedRequests.poll());
         }
-        if (canRespondToNext() && inputError != null) {
+        if (isReadyForNextRequest() && inputError != null) {
             state = State.RESPONSE_PENDING;
             write(ClientResponse.withoutBody(inputError), ConnectionReuse.CLOSE);
         }
     }
 
-    private boolean canRespondToNext() {
+    private boolean isReadyForNextRequest() {
         return state == State.AWAITING_REQUEST && channel.isActive();
     }
 
@@ -205,7 +210,9 @@
         }
     }
 
-    /** Keeps the connection open only if the client asked for that and {@link #serverAllowsReuse} agrees. */
+    /**
+     * Writes a final response. Keeps the connection open only if the client requested that and the server allows it.
+     */
     private void write(ClientResponse response, ConnectionReuse requestedReuse) {
         boolean keepAlive = requestedReuse == ConnectionReuse.KEEP_ALIVE && serverAllowsReuse();
         currentExchange = null;
@@ -225,8 +232,8 @@
     }
 
     /**
-     * With further pipelined requests to answer, only a shutdown closes the connection; between requests the limit of
-     * idle connections applies as well.
+     * Returns whether the connection may stay open after a response. If pipelined requests are waiting, only a shutdown
+     * closes it; if none is waiting, the limit on idle connections applies as well.
      */
     private boolean serverAllowsReuse() {
         return pipelinedRequests.isEmpty() ? server.mayKeepIdleConnection() : !server.isShuttingDown();
@@ -250,7 +257,7 @@
         return state == State.RESPONSE_PENDING || !pipelinedRequests.isEmpty();
     }
 
-    /** Whether no response is pending and no part of a request has been read. */
+    /** Returns whether no response is pending and no part of a further request has been read. */
     private boolean isBetweenRequests() {
         return !hasPendingResponse() && !activity.isReceivingRequest();
     }
@@ -264,33 +271,33 @@
     }
 
     /**
-     * How long the connection has been between requests, in microseconds; 0 if it is handling or receiving one, or is
-     * about to close.
+     * Returns how long the connection has been between requests, in microseconds; 0 if it is handling or receiving a
+     * request, or is about to close after invalid input.
      */
     long idleMicros(long nowMicros) {
         return isBetweenRequests() && inputError == null ? nowMicros - activity.lastActivityMicros() : 0;
     }
 
     /**
-     * Responds with 408 to a request that is not received completely in time, and closes a connection that has been
-     * idle for too long.
+     * Responds with 408 if a request is not received completely in time, and closes the connection if it has been idle
+     * for too long. Has no effect while a response is pending.
      */
     void closeIfStalled(long nowMicros) {
         if (hasPendingResponse()) {
             return;
         }
         if (activity.isRequestTimedOut(nowMicros)) {
-            endInput(HttpResponseStatus.REQUEST_TIMEOUT);
+            rejectInput(HttpResponseStatus.REQUEST_TIMEOUT);
         } else if (inputError == null && activity.isIdleTimedOut(nowMicros)) {
             close();
         }
     }
 
     /**
-     * Closes the connection if no response is pending and its last activity was before a given time.
+     * Closes the connection if no response is pending and its last activity was before the time that applies to it.
      *
-     * @param idleSinceMicros the time for a connection between requests
-     * @param receivingSinceMicros the time for a connection that has received only part of a request
+     * @param idleSinceMicros applies to a connection between requests
+     * @param receivingSinceMicros applies to a connection that has received only part of a request
      */
     void closeIfInactive(long idleSinceMicros, long receivingSinceMicros) {
         long sinceMicros = isBetweenRequests() ? idleSinceMicros : receivingSinceMicros;
@@ -314,13 +321,13 @@
         }
     }
 
-    /** Also receives the errors of the decoder and of the aggregator. */
+    /** Handles the exceptions of this handler and those of the decoder and the aggregator. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
-            endInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            rejectInput(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (cause instanceof CodecException) {
-            endInput(HttpResponseStatus.BAD_REQUEST);
+            rejectInput(HttpResponseStatus.BAD_REQUEST);
         } else {
             if (!(cause instanceof IOException)) {
                 SidecarLog.error("client_connection_failed", cause);
--- a/src/main/java/loadbalancer/proxy/client/ClientConnections.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnections.java
@@ -6,11 +6,12 @@
 import java.util.Set;
 
 /**
- * The open connections of clients. Selects which one to close when the limit is reached. Confined to the event loop.
+ * The open connections of clients. Selects the connection to close when the maximum number is reached. Confined to the
+ * event loop.
  */
 final class ClientConnections {
-    /** A connection that was active more recently than this may have a request on its way, and is not evicted. */
-    private static final long EVICTION_GRACE_MICROS = 50_000;
+    /** How long a connection has to be idle before it is evicted. Before that, a request may still be on its way. */
+    private static final long MIN_IDLE_BEFORE_EVICTION_MICROS = 50_000;
 
     private final ConnectionLimits limits;
     private final Set<ClientConnection> connections = new HashSet<>();
@@ -40,7 +41,7 @@
         return connections.size() >= limits.maxConnections();
     }
 
-    /** Counts a connection that is now kept open between two requests. */
+    /** Counts one more connection as idle, that is, kept open between two requests. */
     void idleConnectionAdded() {
         idleConnections++;
     }
@@ -50,21 +51,21 @@
     }
 
     /**
-     * Whether one more idle connection may be kept open. Without this limit, clients that never reuse their connections
-     * would occupy all of them.
+     * Returns whether one more idle connection may be kept open. Without this limit, clients that never reuse their
+     * connections would use up all available connections.
      */
     boolean mayKeepIdleConnection() {
         return idleConnections < limits.maxIdleConnections();
     }
 
     /**
-     * If the limit is reached, closes one idle connection: preferably one that has never sent a request, otherwise the
-     * one that was last active longest ago.
+     * Closes one idle connection if the maximum number of connections is reached. Prefers connections that have never
+     * sent a request, and among equals the one whose last activity is the longest ago.
      */
     void evictIdleConnectionIfFull(long nowMicros) {
         if (isFull()) {
             connections.stream()
-                    .filter(connection -> connection.idleMicros(nowMicros) > EVICTION_GRACE_MICROS)
+                    .filter(connection -> connection.idleMicros(nowMicros) > MIN_IDLE_BEFORE_EVICTION_MICROS)
                     .min(Comparator.comparing(ClientConnection::hasReceivedRequest)
                             .thenComparing(ClientConnection::lastActivityMicros))
                     .ifPresent(ClientConnection::close);
--- a/src/main/java/loadbalancer/proxy/client/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientListener.java
@@ -11,14 +11,14 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
- * The listening socket for clients. {@link #bind} is called by another thread than the event loop's, once; all other
- * methods are called on the event loop, and {@link #isOpen} and {@link #close} only after {@code bind} has returned.
+ * The listening socket for clients. {@link #bind} is called once, on a thread other than the event loop's. All other
+ * methods are called on the event loop; {@link #isOpen} and {@link #close} only after {@code bind} has returned.
  */
 final class ClientListener {
     private static final int SYSTEM_BACKLOG = 256;
     /**
-     * Enough to read all requests that a client pipelined, and the end of the connection after them, in one iteration
-     * of the event loop.
+     * Enough to read all pipelined requests of a client, and the end of the connection after them, in one iteration of
+     * the event loop.
      */
     private static final int MAX_READS_PER_ITERATION = 64;
 
@@ -46,8 +46,8 @@
                 .option(ChannelOption.SO_BACKLOG, SYSTEM_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Netty would stop after a read that does not fill the buffer, and miss an end of connection that
-                // follows.
+                // By default, Netty stops after a read that does not fill the buffer, and does not see the end of the
+                // connection if it follows.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
@@ -71,14 +71,15 @@
         backlog.setAccepting(accepting);
     }
 
-    /** The longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
+    /** Returns the longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
     long maxBacklogWaitMicros() {
         return backlog.maxWaitMicros();
     }
 
     /**
-     * The time since the last connection was accepted, in microseconds. Returns 0 while accepting is paused, as it is
-     * not known then whether connections are waiting; the time is counted from the last such call.
+     * Returns the time since the last connection was accepted, in microseconds. Returns 0 while accepting is paused,
+     * because it is not known then whether connections are waiting; afterwards, the time is counted from the last call
+     * during the pause.
      */
     long idleMicros(long nowMicros) {
         if (!backlog.isAccepting()) {
@@ -95,7 +96,7 @@
         return channel.isOpen();
     }
 
-    /** Closes the listening socket and resets the connections in the system's backlog. */
+    /** Closes the listening socket; this resets the connections in the operating system's backlog. */
     void close() {
         channel.close();
     }
--- a/src/main/java/loadbalancer/proxy/client/ClientResponse.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientResponse.java
@@ -12,8 +12,8 @@
 import loadbalancer.proxy.protocol.HeaderValues;
 
 /**
- * A final response to a client. Owns {@code body} until the response is written; {@code retryAfterMicros} is 0 if no
- * {@code Retry-After} header is to be sent.
+ * A final response to a client. Owns {@code body} until {@link #toHttpResponse} is called. If {@code retryAfterMicros}
+ * is 0, the response has no {@code Retry-After} header.
  */
 record ClientResponse(HttpResponseStatus status, ByteBuf body, long retryAfterMicros) {
     private static final long NO_RETRY_AFTER = 0;
@@ -30,7 +30,7 @@
         return new ClientResponse(status, Unpooled.EMPTY_BUFFER, NO_RETRY_AFTER);
     }
 
-    /** Creates the message to write. The message owns the body from then on. */
+    /** Creates the message to write, which owns the body from then on. */
     FullHttpResponse toHttpResponse(ConnectionReuse reuse) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         HttpHeaders headers = response.headers();
--- a/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
@@ -8,73 +8,76 @@
  */
 final class ConnectionActivity {
     /**
-     * How long after the connection the first request has to begin, and how long any request may take from its first
-     * byte to its last.
+     * How long it may take to receive a request completely. The time of the first request counts from the acceptance of
+     * the connection, that of any later request from its first byte. A new connection may stay silent for the same
+     * time.
      */
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
     /**
-     * How long a connection may stay idle between requests. The protocol allows a sidecar to close it then; clients
-     * connect again.
+     * How long a connection may stay idle between requests. The protocol allows a sidecar to close it after that;
+     * clients then connect again.
      */
     private static final long IDLE_TIMEOUT_MICROS = 4_000_000;
 
-    private static final long BETWEEN_REQUESTS = 0;
+    private static final long NO_INCOMPLETE_REQUEST = 0;
 
     private final long acceptedMicros;
-    private final long backlogWaitMicros;
+    private final long maxBacklogWaitMicros;
     private long lastActivityMicros;
-    /** When the first byte of the incomplete request was read; {@link #BETWEEN_REQUESTS} if there is none. */
-    private long requestStartMicros = BETWEEN_REQUESTS;
+    /** When the first byte of the incomplete request was read, or {@link #NO_INCOMPLETE_REQUEST}. */
+    private long requestStartMicros = NO_INCOMPLETE_REQUEST;
 
     private boolean requestReceived;
 
-    /** {@code backlogWaitMicros} is the longest time that the connection can have waited in the accept backlog. */
-    ConnectionActivity(long acceptedMicros, long backlogWaitMicros) {
+    /** {@code maxBacklogWaitMicros} is the longest time that the connection can have waited in the accept backlog. */
+    ConnectionActivity(long acceptedMicros, long maxBacklogWaitMicros) {
         this.acceptedMicros = acceptedMicros;
-        this.backlogWaitMicros = backlogWaitMicros;
+        this.maxBacklogWaitMicros = maxBacklogWaitMicros;
         lastActivityMicros = acceptedMicros;
     }
 
     void bytesReceived(long nowMicros) {
         lastActivityMicros = nowMicros;
-        if (requestStartMicros == BETWEEN_REQUESTS) {
+        if (requestStartMicros == NO_INCOMPLETE_REQUEST) {
             requestStartMicros = nowMicros;
         }
     }
 
-    /** The last byte of a request was read. */
+    /** Records that the last byte of a request was read. */
     void requestReceived() {
         requestReceived = true;
-        requestStartMicros = BETWEEN_REQUESTS;
+        requestStartMicros = NO_INCOMPLETE_REQUEST;
     }
 
     void responseWritten(long nowMicros) {
         lastActivityMicros = nowMicros;
     }
 
-    /** When bytes were last read or a response was last written; before that, when the connection was accepted. */
+    /**
+     * Returns when bytes were last read or a response was last written; until then, when the connection was accepted.
+     */
     long lastActivityMicros() {
         return lastActivityMicros;
     }
 
-    /** Whether at least one whole request was read. */
+    /** Returns whether at least one request was read completely. */
     boolean hasReceivedRequest() {
         return requestReceived;
     }
 
-    /** Whether a part of a request was read, but not its last byte. */
+    /** Returns whether the first but not the last byte of a request was read. */
     boolean isReceivingRequest() {
-        return requestStartMicros != BETWEEN_REQUESTS;
+        return requestStartMicros != NO_INCOMPLETE_REQUEST;
     }
 
     /**
-     * The longest time, in microseconds, that the request whose last byte was just read can have waited in the accept
-     * backlog together with its connection. 0 unless it is the connection's first request and was read right after the
-     * connection was accepted. Must be called before {@link #requestReceived}.
+     * Returns the longest time, in microseconds, that the request whose last byte was just read can have waited in the
+     * accept backlog together with its connection. Returns 0 unless it is the connection's first request and was read
+     * right after the connection was accepted. Must be called before {@link #requestReceived}.
      */
-    long requestBacklogWaitMicros() {
-        boolean prompt = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
-        return !requestReceived && prompt ? backlogWaitMicros : 0;
+    long maxRequestBacklogWaitMicros() {
+        boolean readAfterAccept = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
+        return !requestReceived && readAfterAccept ? maxBacklogWaitMicros : 0;
     }
 
     boolean isRequestTimedOut(long nowMicros) {
--- a/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
@@ -3,10 +3,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Bounds on the connections of clients.
+ * Limits on the connections of clients.
  *
- * @param maxConnections most open connections; further ones wait in the listener's backlog
- * @param maxIdleConnections most connections that are kept open between two requests
+ * @param maxConnections maximum number of open connections; further ones wait in the listener's backlog
+ * @param maxIdleConnections maximum number of connections that are kept open between two requests
  * @param descriptorAvailable whether there is a file descriptor for one more connection; called on the event loop
  */
 public record ConnectionLimits(int maxConnections, int maxIdleConnections, BooleanSupplier descriptorAvailable) {}
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -6,35 +6,43 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * The graceful shutdown of the client side. In the first phase everything is served as before, because clients still
- * connect and send requests; in the second, connections and the listener are closed as they become idle. Confined to
- * the event loop.
+ * The graceful shutdown of the client side. In the first phase, connections are accepted and requests are served as
+ * before, because clients still connect and send requests. In the second phase, connections and the listener are closed
+ * as they become idle. Confined to the event loop.
  */
 final class GracefulShutdown {
-    /** Clients may still connect for up to 400 ms after the request to shut down; the rest is a reserve. */
-    private static final long SERVING_MICROS = 600_000;
-    /** A connection that was active, or a listener that accepted, this recently may have a request on its way. */
+    /**
+     * Duration of the serving phase. Clients may still connect for up to 400 ms after the shutdown is requested; the
+     * other 200 ms are a safety margin.
+     */
+    private static final long SERVING_PHASE_MICROS = 600_000;
+    /**
+     * How long a connection or the listener has to be idle before it is closed. Before that, a request or a new
+     * connection may still be on its way to the sidecar.
+     */
     private static final long MIN_IDLE_MICROS = 150_000;
 
     private static final long CHECK_INTERVAL_MILLIS = 20;
     /**
-     * The listener closes this long after the serving phase at the latest: clients that still connect then do not know
-     * of the shutdown.
+     * The listener is closed this long after the serving phase even if it is not idle, because clients that still
+     * connect then do not know of the shutdown.
      */
-    private static final long MAX_LISTENING_MICROS = 1_000_000;
+    private static final long MAX_LISTENING_AFTER_SERVING_MICROS = 1_000_000;
     /**
-     * The process is killed 700 ms plus the longest deadline, of which at most {@link #MAX_KILL_DEADLINE_MICROS} count,
-     * after the request to shut down. Responses are due 100 ms earlier, for their way to the client.
+     * The last response has to be written this long after the request to shut down, plus the longest deadline of a
+     * request class. The process is killed 700 ms plus that deadline after the request to shut down; at most
+     * {@link #MAX_COUNTED_DEADLINE_MICROS} of the deadline count. Responses have to be written 100 ms before that, so
+     * that they still reach the client.
      */
-    private static final long RESPONSE_TIME_MICROS = 600_000;
+    private static final long BASE_RESPONSE_TIME_MICROS = 600_000;
 
-    private static final long MAX_KILL_DEADLINE_MICROS = 3_000_000;
+    private static final long MAX_COUNTED_DEADLINE_MICROS = 3_000_000;
 
     private enum Phase {
         NOT_REQUESTED,
-        /** Connections are accepted and requests served; every response closes its connection. */
+        /** Connections are accepted and requests are served; each response closes its connection. */
         SERVING,
-        /** Idle connections are closed; the listener is closed once no new connections come. */
+        /** Idle connections are closed; the listener is closed once no new connections arrive. */
         DRAINING,
         COMPLETED
     }
@@ -62,7 +70,10 @@
         return phase != Phase.NOT_REQUESTED;
     }
 
-    /** When the last response has to be written, in microseconds; {@link Long#MAX_VALUE} without a shutdown. */
+    /**
+     * Returns the time by which the last response has to be written, in microseconds of the clock;
+     * {@link Long#MAX_VALUE} if no shutdown is requested.
+     */
     long latestResponseMicros() {
         return latestResponseMicros;
     }
@@ -71,15 +82,18 @@
     void start(Runnable onCompleted) {
         long nowMicros = eventLoop.clock().nowMicros();
         phase = Phase.SERVING;
-        servingUntilMicros = nowMicros + SERVING_MICROS;
+        servingUntilMicros = nowMicros + SERVING_PHASE_MICROS;
         latestResponseMicros = nowMicros
-                + RESPONSE_TIME_MICROS
-                + Math.min(MAX_KILL_DEADLINE_MICROS, requestClasses.longestDeadlineMicros());
+                + BASE_RESPONSE_TIME_MICROS
+                + Math.min(MAX_COUNTED_DEADLINE_MICROS, requestClasses.longestDeadlineMicros());
         SidecarLog.info("shutdown_started client_connections=" + connections.size());
         checkRepeatedly(onCompleted);
     }
 
-    /** Schedules the next check even if one fails; otherwise the process would never end. */
+    /**
+     * Repeats the check until the shutdown is completed. The next check is scheduled even if one throws an exception;
+     * otherwise the process would never exit.
+     */
     private void checkRepeatedly(Runnable onCompleted) {
         FaultIsolation.run("shutdown_check", this::check);
         if (phase == Phase.COMPLETED) {
@@ -92,13 +106,17 @@
         }
     }
 
+    /**
+     * Closes the listener and the connections that are idle once the serving phase is over; completes the shutdown when
+     * all of them are closed.
+     */
     private void check() {
         long nowMicros = eventLoop.clock().nowMicros();
         if (nowMicros < servingUntilMicros) {
             return;
         }
         phase = Phase.DRAINING;
-        closeListenerIfIdle(nowMicros);
+        closeListenerIfIdleOrOverdue(nowMicros);
         connections.closeInactive(nowMicros - MIN_IDLE_MICROS, nowMicros - requestClasses.longestDeadlineMicros());
         if (connections.isEmpty() && !listener.isOpen()) {
             phase = Phase.COMPLETED;
@@ -106,13 +124,14 @@
     }
 
     /**
-     * Closing the listener resets the connections in its backlog. So the backlog has to be empty, which is known only
-     * while connections are being accepted.
+     * Closes the listener if it is idle or has been open for too long after the serving phase. Closing it resets the
+     * connections in its backlog. Therefore the backlog has to be empty, which is known only while connections are
+     * being accepted.
      */
-    private void closeListenerIfIdle(long nowMicros) {
+    private void closeListenerIfIdleOrOverdue(long nowMicros) {
         long idleMicros = listener.idleMicros(nowMicros);
-        boolean unaware = nowMicros >= servingUntilMicros + MAX_LISTENING_MICROS;
-        if (listener.isOpen() && listener.isAccepting() && (idleMicros >= MIN_IDLE_MICROS || unaware)) {
+        boolean overdue = nowMicros >= servingUntilMicros + MAX_LISTENING_AFTER_SERVING_MICROS;
+        if (listener.isOpen() && listener.isAccepting() && (idleMicros >= MIN_IDLE_MICROS || overdue)) {
             listener.close();
             SidecarLog.info("listener_closed client_connections=" + connections.size());
         }
--- a/src/main/java/loadbalancer/proxy/client/InvalidRequestException.java
+++ b/src/main/java/loadbalancer/proxy/client/InvalidRequestException.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.client;
 
 /**
- * A request that the protocol does not allow. The message says what was wrong with it. Thrown for ordinary input, and
- * therefore without a stack trace.
+ * Thrown for a request that violates the protocol; the message says what was expected. It has no stack trace, because
+ * invalid requests are ordinary input.
  */
 final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -4,12 +4,12 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The valid content of a request's headers.
+ * A request whose headers have been parsed and checked.
  *
- * @param tenant null if the request names none
+ * @param tenant null if the request names no tenant
  * @param routingKey a number of 53 bits, or {@link Request#NO_ROUTING_KEY}
- * @param retry whether the client says that it has sent this request before
- * @param costHintMicros the work of the request in microseconds of a standard core; 0 if there is no hint
+ * @param retry whether the client states that it has sent this request before
+ * @param costHintMicros the expected work of the request, in microseconds of a standard core; 0 if there is no hint
  * @param remainingMicros how long the client waits for the response, at most the deadline of the class
  */
 record ParsedRequest(
@@ -22,8 +22,8 @@
         long remainingMicros,
         RequestPayload payload) {
     /**
-     * Creates what the load balancer gets. {@code untilDeadlineMicros} is the time left to respond; values below 1 are
-     * passed on as 1.
+     * Creates the request for the load balancer. {@code untilDeadlineMicros} is the time left to respond; values below
+     * 1 are replaced by 1.
      */
     Request toRequest(long untilDeadlineMicros) {
         return new Request(
--- a/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
@@ -4,13 +4,14 @@
 import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * Requests of one connection that are received but not yet handled, in the order of their receipt. Owns their messages
- * until {@link #poll} hands one over. Confined to the event loop.
+ * The requests of one connection that are received but not yet handled, in the order of their receipt. Owns each
+ * message until {@link #poll} returns it. Confined to the event loop.
  */
 final class PipelinedRequests {
     /**
-     * How much a client may pipeline; well-behaved clients do not pipeline at all. A client beyond this limit gets an
-     * error. Its socket is not simply left unread, because then its disconnect would not be noticed.
+     * Maximum estimated memory of the pipelined requests of one connection; well-behaved clients do not pipeline at
+     * all. A client that exceeds the limit gets an error response. The sidecar does not just stop reading the socket
+     * instead, because then it would not notice the client's disconnect.
      */
     private static final int MAX_BYTES = 4 * ProtocolConstants.MAX_REQUEST_BODY_BYTES;
 
--- a/src/main/java/loadbalancer/proxy/client/ReceivedBytesHandler.java
+++ b/src/main/java/loadbalancer/proxy/client/ReceivedBytesHandler.java
@@ -6,7 +6,7 @@
 
 /**
  * The first handler of a client's connection, before the decoder: records when bytes arrive, and discards them once the
- * connection accepts no further requests. The socket is still read then, because otherwise the end of the connection
+ * connection accepts no further requests. The socket is read even then, because otherwise the end of the connection
  * would not be noticed.
  */
 final class ReceivedBytesHandler extends ChannelInboundHandlerAdapter {
--- a/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -15,10 +15,10 @@
 import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * Aggregates requests up to {@link ProtocolConstants#MAX_REQUEST_BODY_BYTES}. It writes no response except {@code 100
- * Continue} to a client that expects it, and only while no other response is pending, as it would overtake that. A
- * request that it cannot aggregate becomes an exception on the pipeline: {@link TooLongFrameException} or
- * {@link CorruptedFrameException}.
+ * Aggregates requests with bodies of up to {@link ProtocolConstants#MAX_REQUEST_BODY_BYTES}. The only response that it
+ * writes is {@code 100 Continue} to a client that expects it, and only while no other response is pending, because it
+ * would overtake that one. For a request that cannot be aggregated, an exception is passed along the pipeline:
+ * {@link TooLongFrameException} or {@link CorruptedFrameException}.
  */
 final class RequestAggregator extends HttpObjectAggregator {
     private final BooleanSupplier responsePending;
@@ -38,13 +38,15 @@
     protected FullHttpMessage beginAggregation(HttpMessage start, ByteBuf content) throws Exception {
         if (!start.decoderResult().isSuccess() || !hasKnownEnd(start)) {
             content.release();
-            throw new CorruptedFrameException("the end of the request is not known");
+            throw new CorruptedFrameException(
+                    "expected a valid request head without a transfer encoding other than chunked");
         }
         return super.beginAggregation(start, content);
     }
 
     /**
-     * With any transfer encoding but chunked it is ambiguous whether the next bytes are the body or another request.
+     * Returns whether the request has no transfer encoding or only {@code chunked}. With any other it is ambiguous
+     * whether the next bytes are the body or another request.
      */
     private static boolean hasKnownEnd(HttpMessage start) {
         List<String> encodings = start.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -54,6 +56,7 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-        throw new TooLongFrameException("a body of more than " + ProtocolConstants.MAX_REQUEST_BODY_BYTES + " bytes");
+        throw new TooLongFrameException(
+                "request body exceeds the maximum of " + ProtocolConstants.MAX_REQUEST_BODY_BYTES + " bytes");
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/RequestClasses.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestClasses.java
@@ -6,8 +6,8 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The request classes in force, by name. Confined to the event loop once the server listens; before that, to the thread
- * that starts it.
+ * The current request classes, by name. Confined to the thread that starts the server until the server listens, and to
+ * the event loop from then on.
  */
 final class RequestClasses {
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -32,8 +32,8 @@
     }
 
     /**
-     * The longest deadline of any class, in microseconds: no client waits longer for a response. 0 if there is no
-     * class.
+     * Returns the longest deadline of any class, in microseconds; 0 if there is no class. No client waits longer for a
+     * response.
      */
     long longestDeadlineMicros() {
         return longestDeadlineMicros;
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -21,25 +21,25 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
- * Carries requests between clients, the load balancer and the upstream connections: reports each request and each
- * attempt's outcome to the load balancer, carries out its decisions, and gives every request exactly one final
- * response. If the load balancer throws or decides nothing in time, the dispatcher fails the request itself.
+ * Holds the open requests. Reports each request and the outcome of each attempt to the load balancer, carries out the
+ * load balancer's decisions, and gives every request exactly one final response unless its client disconnects first. If
+ * the load balancer throws an exception or makes no decision in time, the dispatcher fails the request itself.
  *
- * <p>Confined to the event loop, as are the exchanges that it holds. Unknown request ids are ignored, because a
- * decision may arrive after the request has ended.
+ * <p>Confined to the event loop, as are the exchanges that it holds. Methods that take a request id ignore an unknown
+ * one, because a decision may arrive after the request has ended.
  */
 public final class RequestDispatcher {
     /**
-     * How long after a request's deadline the load balancer may still respond to it. Attempts time out at the deadline
-     * itself, so this leaves time to decide on that outcome.
+     * Time from a request's deadline until the dispatcher fails the request. Attempts time out at the deadline itself,
+     * so the load balancer has this time to decide on the timeout.
      */
     private static final long RESPONSE_GRACE_MICROS = 2_000;
 
     /**
-     * A response more than this long after its deadline is logged, as it indicates a fault of this program or an
+     * A response that is late by more than this is logged, because it indicates a fault of this program or an
      * overloaded machine.
      */
-    private static final long LATE_RESPONSE_LOG_MICROS = 100_000;
+    private static final long LATE_RESPONSE_LOG_THRESHOLD_MICROS = 100_000;
 
     private final EventLoop loop;
     private final MonotonicClock clock;
@@ -47,22 +47,22 @@
     private final UpstreamConnectionPool upstreams;
     private int maxAttempts;
     private final TrafficStatistics statistics;
-    /** Requests without a final response or with an attempt in flight, by id. */
+    /** The open requests by id: those that are not completed or have an attempt in flight. */
     private final Map<String, RequestExchange> exchanges = new HashMap<>();
-    /** Requests without a final response, the earliest deadline first. */
-    private final TreeSet<RequestExchange> pendingResponses = new TreeSet<>(
+    /** The requests that are not completed, ordered by deadline, the earliest first. */
+    private final TreeSet<RequestExchange> exchangesByDeadline = new TreeSet<>(
             Comparator.comparingLong(RequestExchange::deadlineMicros).thenComparing(RequestExchange::requestId));
     /**
-     * The timer that runs {@link #checkDeadlines} when the first pending response becomes overdue, or earlier; null if
-     * none is scheduled.
+     * The timer that runs {@link #checkDeadlines} when the first request in {@link #exchangesByDeadline} becomes
+     * overdue, or earlier; null if none is scheduled.
      */
     private Future<?> deadlineCheck;
 
     /**
      * Creates a dispatcher without requests.
      *
-     * @param loop owns this object; all of its methods are called there
-     * @param maxAttempts attempts of one request, at most; see {@link #updateMaxAttempts}
+     * @param loop the event loop on which all methods are called
+     * @param maxAttempts the maximum number of attempts of one request; see {@link #updateMaxAttempts}
      */
     public RequestDispatcher(
             EventLoop loop,
@@ -79,38 +79,40 @@
         this.statistics = statistics;
     }
 
-    /** Sets how many attempts a request may have from now on. Further ones end as {@link AttemptOutcome#NOT_SENT}. */
+    /**
+     * Sets the maximum number of attempts of one request. Attempts beyond it end as {@link AttemptOutcome#NOT_SENT}.
+     */
     public void updateMaxAttempts(int attempts) {
         maxAttempts = attempts;
     }
 
-    /** How many requests have no final response yet, or still have an attempt in flight. */
+    /** Returns the number of requests that are not completed or still have an attempt in flight. */
     public int openRequests() {
         return exchanges.size();
     }
 
-    /** Whether a request of this id is among the {@link #openRequests}. */
+    /** Returns whether a request with this id is among the {@link #openRequests}. */
     boolean isOpen(String requestId) {
         return exchanges.containsKey(requestId);
     }
 
     /**
-     * Takes charge of a new request. Other requests that are overdue are failed first. If the deadline of this one has
-     * already passed, it fails at once and the load balancer does not learn of it.
+     * Accepts a new request and reports it to the load balancer. Fails all overdue requests first. If the deadline of
+     * the new request has already passed, fails it at once without reporting it.
      */
     void dispatch(RequestExchange exchange) {
         failOverdueRequests();
-        exchange.dispatchedAt(clock.nowMicros());
+        exchange.recordDispatch(clock.nowMicros());
         statistics.requestAccepted(exchange.request().requestClassName());
         if (exchange.dispatchedMicros() >= exchange.deadlineMicros()) {
-            exchange.complete();
+            exchange.markCompleted();
             statistics.requestFailed();
             exchange.responseHandler().onFailed();
             return;
         }
         exchanges.put(exchange.requestId(), exchange);
-        pendingResponses.add(exchange);
-        if (pendingResponses.first() == exchange) {
+        exchangesByDeadline.add(exchange);
+        if (exchangesByDeadline.first() == exchange) {
             scheduleDeadlineCheck();
         }
         loadBalancerExecutor.submit(
@@ -120,7 +122,8 @@
     }
 
     /**
-     * Ends a request without a response. An attempt whose request is already written stays in flight until its outcome.
+     * Completes a request without a response, because its client has disconnected. An attempt that is already written
+     * to its endpoint stays in flight until its outcome is known.
      */
     void clientDisconnected(RequestExchange exchange) {
         if (!exchange.isCompleted()) {
@@ -131,18 +134,18 @@
     }
 
     /**
-     * Fails the requests whose deadline plus {@link #RESPONSE_GRACE_MICROS} has passed, the earliest deadline first. It
-     * is called before each new request and connection is handled: if the event loop is late, a failure written now may
-     * still reach its client in time, but not after a hundred more requests.
+     * Fails the requests whose deadline passed at least {@link #RESPONSE_GRACE_MICROS} ago, the earliest deadline
+     * first. Called before each new request or connection is handled: if the event loop is late, an error response that
+     * is written now may still reach its client in time, but one that is written after a hundred more requests may not.
      */
     void failOverdueRequests() {
         long nowMicros = clock.nowMicros();
-        while (!pendingResponses.isEmpty() && overdueMicros(pendingResponses.first()) <= nowMicros) {
-            failAndExpire(pendingResponses.pollFirst());
+        while (!exchangesByDeadline.isEmpty() && overdueAtMicros(exchangesByDeadline.first()) <= nowMicros) {
+            failAndReportExpired(exchangesByDeadline.pollFirst());
         }
     }
 
-    private static long overdueMicros(RequestExchange exchange) {
+    private static long overdueAtMicros(RequestExchange exchange) {
         return exchange.deadlineMicros() + RESPONSE_GRACE_MICROS;
     }
 
@@ -150,31 +153,31 @@
         if (deadlineCheck != null) {
             deadlineCheck.cancel(false);
         }
-        long delayMicros = overdueMicros(pendingResponses.first()) - clock.nowMicros();
+        long delayMicros = overdueAtMicros(exchangesByDeadline.first()) - clock.nowMicros();
         deadlineCheck = loop.schedule(this::checkDeadlines, delayMicros, TimeUnit.MICROSECONDS);
     }
 
     private void checkDeadlines() {
         deadlineCheck = null;
         FaultIsolation.run("overdue_responses", this::failOverdueRequests);
-        if (!pendingResponses.isEmpty()) {
+        if (!exchangesByDeadline.isEmpty()) {
             scheduleDeadlineCheck();
         }
     }
 
     /**
-     * Fails the open requests that have no attempt in flight. Called after the load balancer failed in a timer, when it
-     * may have lost track of them.
+     * Fails the open requests that have no attempt in flight. Called after the load balancer has thrown an exception in
+     * a timer, because it may have lost track of them.
      */
     public void failRequestsWithoutAttemptInFlight() {
         for (RequestExchange exchange : List.copyOf(exchanges.values())) {
             if (!exchange.hasAttemptInFlight()) {
-                failAndExpire(exchange);
+                failAndReportExpired(exchange);
             }
         }
     }
 
-    private void failAndExpire(RequestExchange exchange) {
+    private void failAndReportExpired(RequestExchange exchange) {
         if (!exchange.isCompleted()) {
             fail(exchange);
             reportExpired(exchange);
@@ -189,44 +192,51 @@
     }
 
     /**
-     * Starts an attempt of a request. The attempt ends at once as {@link AttemptOutcome#NOT_SENT} if its time is over,
-     * the request has had the maximum of attempts, or the request already has its final response.
+     * Starts an attempt of a request. The attempt ends at once as {@link AttemptOutcome#NOT_SENT} if its timeout has
+     * already passed, the request already has the maximum number of attempts, or the request is completed.
      *
-     * @param untilMicros when the attempt times out; the request's deadline if this is 0, negative or later than that
+     * @param untilMicros when the attempt times out; if it is 0, negative or later than the request's deadline, the
+     *     attempt times out at that deadline
      */
     public void sendAttempt(String requestId, String endpointId, long untilMicros) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange == null) {
             return;
         }
-        int number = exchange.attempts().size();
-        long deadlineMicros = exchange.deadlineMicros();
-        long giveUpMicros = untilMicros <= 0 ? deadlineMicros : Math.min(untilMicros, deadlineMicros);
-        boolean sendable = !exchange.isCompleted() && number < maxAttempts && giveUpMicros > clock.nowMicros();
-        UpstreamCall attempt = createAttempt(exchange, number, endpointId, giveUpMicros);
-        if (number == 0) {
+        int attemptNumber = exchange.attempts().size();
+        long requestDeadlineMicros = exchange.deadlineMicros();
+        long attemptDeadlineMicros =
+                untilMicros <= 0 ? requestDeadlineMicros : Math.min(untilMicros, requestDeadlineMicros);
+        boolean maySend =
+                !exchange.isCompleted() && attemptNumber < maxAttempts && attemptDeadlineMicros > clock.nowMicros();
+        UpstreamCall attempt = createAttempt(exchange, attemptNumber, endpointId, attemptDeadlineMicros);
+        if (attemptNumber == 0) {
             statistics.firstAttemptStarted(clock.nowMicros() - exchange.dispatchedMicros());
         }
         exchange.attempts().add(attempt);
-        if (sendable) {
+        if (maySend) {
             upstreams.startCall(attempt);
         } else {
             attempt.endUnsent(clock.nowMicros());
         }
     }
 
-    private UpstreamCall createAttempt(RequestExchange exchange, int number, String endpointId, long giveUpMicros) {
+    private UpstreamCall createAttempt(
+            RequestExchange exchange, int attemptNumber, String endpointId, long attemptDeadlineMicros) {
         return UpstreamCall.attempt(
                 endpointId,
-                giveUpMicros,
+                attemptDeadlineMicros,
                 remainingMicros -> exchange.payload().toHttpRequest(exchange.requestId(), remainingMicros),
                 (call, outcome, report, body) -> {
                     attemptEnded(exchange, call, outcome, body);
-                    reportOutcome(exchange, number, report);
+                    reportOutcome(exchange, attemptNumber, report);
                 });
     }
 
-    /** {@code body} is owned by the caller, and null unless the outcome is {@link AttemptOutcome#OK}. */
+    /**
+     * Completes the request if the outcome is {@link AttemptOutcome#OK}. {@code body} is owned by the caller, and null
+     * for any other outcome.
+     */
     private void attemptEnded(RequestExchange exchange, UpstreamCall attempt, AttemptOutcome outcome, ByteBuf body) {
         attempt.recordEnd(clock.nowMicros());
         statistics.attemptCompleted(outcome);
@@ -235,42 +245,44 @@
             complete(exchange);
             exchange.responseHandler().onServed(body.retain());
         }
-        removeIfSettled(exchange);
+        removeIfEnded(exchange);
     }
 
-    private void reportOutcome(RequestExchange exchange, int number, LoadReport report) {
+    private void reportOutcome(RequestExchange exchange, int attemptNumber, LoadReport report) {
         long nowMicros = clock.nowMicros();
-        UpstreamCall attempt = exchange.attempts().get(number);
+        UpstreamCall attempt = exchange.attempts().get(attemptNumber);
         loadBalancerExecutor.submit(
                 "attempt_outcome",
                 loadBalancer -> loadBalancer.onAttemptOutcome(
                         nowMicros,
                         new AttemptResult(
                                 exchange.requestId(),
-                                number,
+                                attemptNumber,
                                 attempt.endpointId(),
                                 attempt.outcome(),
                                 nowMicros - attempt.startedMicros(),
                                 exchange.isCompleted(),
                                 report)),
-                () -> failUnlessInFlight(exchange));
+                () -> failIfNoAttemptInFlight(exchange));
     }
 
-    private void failUnlessInFlight(RequestExchange exchange) {
+    private void failIfNoAttemptInFlight(RequestExchange exchange) {
         if (!exchange.hasAttemptInFlight()) {
             fail(exchange);
         }
     }
 
-    /** Cancels one attempt of a request. Has no effect if there is no attempt of that number or it has ended. */
-    public void cancelAttempt(String requestId, int number) {
+    /** Cancels one attempt of a request. Has no effect if there is no attempt with that number or it has ended. */
+    public void cancelAttempt(String requestId, int attemptNumber) {
         RequestExchange exchange = exchanges.get(requestId);
-        if (exchange != null && number >= 0 && number < exchange.attempts().size()) {
-            exchange.attempts().get(number).cancel();
+        if (exchange != null
+                && attemptNumber >= 0
+                && attemptNumber < exchange.attempts().size()) {
+            exchange.attempts().get(attemptNumber).cancel();
         }
     }
 
-    /** Rejects a request; {@code retryAfterMicros} is 0 if no {@code Retry-After} header is to be sent. */
+    /** Rejects a request. If {@code retryAfterMicros} is 0, the response has no {@code Retry-After} header. */
     public void reject(String requestId, long retryAfterMicros) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange != null && !exchange.isCompleted()) {
@@ -280,7 +292,7 @@
         }
     }
 
-    /** Gives a request its final response: it has failed, and an attempt may have run. */
+    /** Fails a request: its client gets an error response. An endpoint may have run an attempt of it. */
     public void fail(String requestId) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange != null) {
@@ -297,28 +309,28 @@
     }
 
     /**
-     * Marks the request as completed and withdraws the attempts that are not written yet, as no endpoint has to run
-     * them any more.
+     * Marks the request as completed and withdraws the attempts that are not written yet, because no endpoint needs to
+     * run them any more.
      */
     private void complete(RequestExchange exchange) {
-        exchange.complete();
+        exchange.markCompleted();
         logIfLate(exchange);
-        pendingResponses.remove(exchange);
+        exchangesByDeadline.remove(exchange);
         exchange.attempts().forEach(UpstreamCall::withdraw);
-        removeIfSettled(exchange);
+        removeIfEnded(exchange);
     }
 
     private void logIfLate(RequestExchange exchange) {
         long nowMicros = clock.nowMicros();
-        boolean late = nowMicros - exchange.deadlineMicros() > LATE_RESPONSE_LOG_MICROS;
-        // A pipelined request may be past its deadline before it is dispatched, which is no fault of this program.
+        boolean late = nowMicros - exchange.deadlineMicros() > LATE_RESPONSE_LOG_THRESHOLD_MICROS;
+        // The deadline of a pipelined request may pass before it is dispatched, which is no fault of this program.
         if (late && exchange.dispatchedMicros() < exchange.deadlineMicros()) {
             SidecarLog.info(exchange.describeLateResponse(nowMicros));
         }
     }
 
-    private void removeIfSettled(RequestExchange exchange) {
-        if (exchange.isSettled()) {
+    private void removeIfEnded(RequestExchange exchange) {
+        if (exchange.hasEnded()) {
             exchanges.remove(exchange.requestId());
         }
     }
--- a/src/main/java/loadbalancer/proxy/client/RequestExchange.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchange.java
@@ -6,8 +6,8 @@
 import loadbalancer.proxy.upstream.UpstreamCall;
 
 /**
- * One request and its attempts, from its receipt until it has its final response and no attempt is in flight. Confined
- * to the event loop. Times are those of the {@link loadbalancer.proxy.eventloop.MonotonicClock}, in microseconds.
+ * One request and its attempts, from its receipt until it is completed and has no attempt in flight. Confined to the
+ * event loop. Times are in microseconds of the {@link loadbalancer.proxy.eventloop.MonotonicClock}.
  */
 final class RequestExchange {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -20,7 +20,7 @@
     private long dispatchedMicros;
     private boolean completed;
 
-    /** The response has to be written by {@code deadlineMicros}. */
+    /** {@code deadlineMicros} is the time by which the response has to be written. */
     RequestExchange(Request request, RequestPayload payload, long deadlineMicros, ResponseHandler responseHandler) {
         this.request = request;
         this.payload = payload;
@@ -48,26 +48,26 @@
         return responseHandler;
     }
 
-    /** The attempts in the order in which they were started; the index of one is its number. */
+    /** Returns the attempts in the order in which they were started; the index of an attempt is its number. */
     List<UpstreamCall> attempts() {
         return attempts;
     }
 
-    /** When the dispatcher received the request. */
+    /** Returns when the dispatcher received the request; 0 until then. */
     long dispatchedMicros() {
         return dispatchedMicros;
     }
 
-    void dispatchedAt(long nowMicros) {
+    void recordDispatch(long nowMicros) {
         dispatchedMicros = nowMicros;
     }
 
-    /** Whether the final response was written, or is no longer needed because the client has disconnected. */
+    /** Returns whether the final response was written, or is not needed because the client has disconnected. */
     boolean isCompleted() {
         return completed;
     }
 
-    void complete() {
+    void markCompleted() {
         completed = true;
     }
 
@@ -75,14 +75,14 @@
         return !attempts.stream().allMatch(UpstreamCall::hasEnded);
     }
 
-    /** Whether the request is completed and all of its attempts have ended. */
-    boolean isSettled() {
+    /** Returns whether the request is completed and all of its attempts have ended. */
+    boolean hasEnded() {
         return completed && !hasAttemptInFlight();
     }
 
     /**
-     * The log line for a late response: how late it is, and each attempt with its times since the request was
-     * dispatched.
+     * Returns the log line for a late response. It says how late the response is and lists each attempt with its times
+     * since the request was dispatched.
      */
     String describeLateResponse(long nowMicros) {
         StringBuilder line = new StringBuilder("response_late request=")
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -3,20 +3,21 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
- * Creates the exchange for a received request: parses the request and computes when its response has to be written.
- * Confined to the event loop.
+ * Creates the exchange for a received request: parses the request and computes its deadline, by which the response has
+ * to be written. Confined to the event loop.
  */
 final class RequestExchangeFactory {
     /**
-     * The deadline is at least this long before the client stops waiting. If the event loop was recently later than
-     * this, the margin is as long as that lag. It is never more than a quarter of the time that the client waits.
+     * The minimum margin between a request's deadline and the time at which the client stops waiting. If the recent lag
+     * of the event loop is longer, the margin is as long as that lag. It is never more than the time that the client
+     * waits, divided by {@link #MAX_RESPONSE_MARGIN_DIVISOR}.
      */
     private static final long MIN_RESPONSE_MARGIN_MICROS = 15_000;
 
     private static final int MAX_RESPONSE_MARGIN_DIVISOR = 4;
     /**
-     * The wait in the backlog is only known as an upper bound, so at most half of the remaining time is deducted for
-     * it.
+     * At most the remaining time divided by this is deducted for the wait in the accept backlog, because only an upper
+     * bound of that wait is known.
      */
     private static final int MAX_BACKLOG_WAIT_DIVISOR = 2;
 
@@ -25,7 +26,7 @@
     private final RequestDispatcher dispatcher;
     private final GracefulShutdown shutdown;
 
-    /** Deadlines are never later than {@link GracefulShutdown#latestResponseMicros}. */
+    /** {@code shutdown} limits the deadlines to {@link GracefulShutdown#latestResponseMicros}. */
     RequestExchangeFactory(
             ReadTrackingEventLoop eventLoop,
             RequestParser parser,
@@ -38,14 +39,14 @@
     }
 
     /**
-     * Creates the exchange.
+     * Creates the exchange for a request, with {@code responseHandler} to receive its response.
      *
      * @throws InvalidRequestException if the request is invalid, or an open request has the same id
      */
     RequestExchange create(ReceivedRequest received, ResponseHandler responseHandler) throws InvalidRequestException {
         ParsedRequest parsed = parser.parse(received.message());
         if (dispatcher.isOpen(parsed.id())) {
-            throw new InvalidRequestException("the request id is in use");
+            throw new InvalidRequestException("the request id is already used by an open request");
         }
         long deadlineMicros = deadlineMicros(received, parsed.remainingMicros());
         long untilDeadlineMicros = deadlineMicros - eventLoop.clock().nowMicros();
@@ -57,7 +58,7 @@
         long marginMicros = Math.min(
                 Math.max(MIN_RESPONSE_MARGIN_MICROS, eventLoop.recentLagMicros()),
                 remainingMicros / MAX_RESPONSE_MARGIN_DIVISOR);
-        long backlogWaitMicros = Math.min(received.backlogWaitMicros(), remainingMicros / MAX_BACKLOG_WAIT_DIVISOR);
+        long backlogWaitMicros = Math.min(received.maxBacklogWaitMicros(), remainingMicros / MAX_BACKLOG_WAIT_DIVISOR);
         long sentMicros = received.sentMicros() - backlogWaitMicros;
         return Math.min(shutdown.latestResponseMicros(), sentMicros + remainingMicros - marginMicros);
     }
--- a/src/main/java/loadbalancer/proxy/client/RequestParser.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestParser.java
@@ -15,9 +15,9 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * Checks the headers of an aggregated request against the protocol and reads them. A request that no endpoint could use
- * is rejected here, because forwarding it would make the endpoint look faulty. Confined to the event loop; does not
- * change or release the message.
+ * Parses the headers of an aggregated request and checks them against the protocol. Rejects a request that no endpoint
+ * could process, because forwarding it would make the endpoint look faulty. Confined to the event loop; does not modify
+ * or release the message.
  */
 final class RequestParser {
     private static final int ROUTING_KEY_BITS = 53;
@@ -30,7 +30,11 @@
         this.classes = classes;
     }
 
-    /** @throws InvalidRequestException naming the first rule that the request violates */
+    /**
+     * Parses and checks a request.
+     *
+     * @throws InvalidRequestException if the request is invalid; the message says what was expected
+     */
     ParsedRequest parse(FullHttpRequest message) throws InvalidRequestException {
         HttpHeaders headers = message.headers();
         String id = requireId(headers);
@@ -46,40 +50,46 @@
                 routingKey(headers),
                 RETRY_VALUE.equals(headers.get(ProtocolConstants.RETRY)),
                 Math.max(0, HeaderValues.parseWholeNumber(singleToken(headers, ProtocolConstants.COST_HINT))),
-                // Otherwise a client could make the sidecar hold its request for days.
+                // Without this limit a client could make the sidecar hold its request for days.
                 Math.min(remainingMicros, requestClass.deadlineMicros()),
                 payload(message));
     }
 
-    /** Returns the request's id; empty if it has no valid one. */
+    /** Returns the request's id; an empty string if it does not have exactly one valid id. */
     static String requestId(FullHttpRequest message) {
         return singleToken(message.headers(), ProtocolConstants.REQUEST_ID);
     }
 
     private static String requireId(HttpHeaders headers) throws InvalidRequestException {
         String id = singleToken(headers, ProtocolConstants.REQUEST_ID);
-        check(!id.isEmpty(), "one request id expected in " + ProtocolConstants.REQUEST_ID);
+        check(!id.isEmpty(), "expected exactly one request id in header " + ProtocolConstants.REQUEST_ID);
         return id;
     }
 
     private RequestClass requireClass(HttpHeaders headers) throws InvalidRequestException {
         RequestClass requestClass = classes.get(singleToken(headers, ProtocolConstants.REQUEST_CLASS));
-        check(requestClass != null, "the name of a known class expected in " + ProtocolConstants.REQUEST_CLASS);
+        check(
+                requestClass != null,
+                "expected the name of a known request class in header " + ProtocolConstants.REQUEST_CLASS);
         return requestClass;
     }
 
     private static long requireRemainingMicros(HttpHeaders headers) throws InvalidRequestException {
         long remainingMillis = HeaderValues.parseWholeNumber(singleToken(headers, ProtocolConstants.REMAINING_MILLIS));
-        check(remainingMillis > 0, "whole milliseconds above 0 expected in " + ProtocolConstants.REMAINING_MILLIS);
+        check(
+                remainingMillis > 0,
+                "expected a positive whole number of milliseconds in header " + ProtocolConstants.REMAINING_MILLIS);
         return remainingMillis * MICROS_PER_MILLI;
     }
 
-    /** The class determines the method: GET for an idempotent one, POST for any other. */
+    /** Checks that a request of an idempotent class is a GET without a body, and any other a POST. */
     private static void checkMethod(FullHttpRequest message, RequestClass requestClass) throws InvalidRequestException {
         boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
         HttpMethod expected = idempotent ? HttpMethod.GET : HttpMethod.POST;
-        check(message.method().equals(expected), "GET expected for an idempotent class, POST for any other");
-        check(!idempotent || !message.content().isReadable(), "no body expected for an idempotent class");
+        check(
+                message.method().equals(expected),
+                "expected method GET for an idempotent request class, POST for any other class");
+        check(!idempotent || !message.content().isReadable(), "expected no body for an idempotent request class");
     }
 
     private static void checkIdempotencyKey(HttpHeaders headers, RequestClass requestClass)
@@ -87,12 +97,16 @@
         boolean required = requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
         boolean present = headers.contains(ProtocolConstants.IDEMPOTENCY_KEY);
         boolean valid = !singleToken(headers, ProtocolConstants.IDEMPOTENCY_KEY).isEmpty();
-        check(present ? valid : !required, "one key expected in " + ProtocolConstants.IDEMPOTENCY_KEY);
+        check(
+                present ? valid : !required,
+                "expected exactly one idempotency key in header " + ProtocolConstants.IDEMPOTENCY_KEY);
     }
 
     private static void checkRequestLine(FullHttpRequest message) throws InvalidRequestException {
-        check(HeaderValues.isRequestTarget(message.uri()), "a path of visible ASCII characters expected");
-        check(message.protocolVersion().majorVersion() == 1, "HTTP/1.x expected");
+        check(
+                HeaderValues.isRequestTarget(message.uri()),
+                "expected a path of visible ASCII characters as the request target");
+        check(message.protocolVersion().majorVersion() == 1, "expected protocol version HTTP/1.x");
     }
 
     private static void check(boolean valid, String expectation) throws InvalidRequestException {
@@ -102,8 +116,8 @@
     }
 
     /**
-     * Returns the value of a header that must occur once; empty if it is missing, repeated or not a token. A repeated
-     * header is ambiguous.
+     * Returns the value of a header that must occur exactly once, because a repeated header is ambiguous; an empty
+     * string if the header is missing or repeated, or its value is not a token.
      */
     private static String singleToken(HttpHeaders headers, String name) {
         List<String> values = headers.getAll(name);
--- a/src/main/java/loadbalancer/proxy/client/RequestPayload.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestPayload.java
@@ -15,9 +15,9 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * Builds the message of one attempt.
+     * Creates the message of one attempt.
      *
-     * @param remainingMicros how long the sidecar waits for the response; sent in whole milliseconds, 1 at least
+     * @param remainingMicros how long the sidecar waits for the response; sent in whole milliseconds, at least 1
      */
     FullHttpRequest toHttpRequest(String requestId, long remainingMicros) {
         FullHttpRequest message =
--- a/src/main/java/loadbalancer/proxy/client/ResponseHandler.java
+++ b/src/main/java/loadbalancer/proxy/client/ResponseHandler.java
@@ -3,19 +3,19 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Receives the final response to one request. Exactly one of the methods is called, once, on the event loop; none is
- * called after the client has disconnected.
+ * Receives the final response to one request. Exactly one of the methods is called, exactly once, on the event loop. If
+ * the client disconnects before that, none is called.
  */
 interface ResponseHandler {
-    /** An endpoint has served the request. The handler owns {@code body} and has to release it. */
+    /** Called when an endpoint has served the request. The handler owns {@code body} and has to release it. */
     void onServed(ByteBuf body);
 
     /**
-     * The request was rejected and nothing has run; {@code retryAfterMicros} is 0 if no {@code Retry-After} header is
-     * to be sent.
+     * Called when the request was rejected; no endpoint has run it. If {@code retryAfterMicros} is 0, the response has
+     * no {@code Retry-After} header.
      */
     void onRejected(long retryAfterMicros);
 
-    /** The request failed; an attempt may have run. */
+    /** Called when the request failed; an endpoint may have run an attempt of it. */
     void onFailed();
 }
--- a/src/main/java/loadbalancer/proxy/client/ClientServer.java
+++ b/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
@@ -10,18 +10,18 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The sidecar's HTTP server for the application: accepts connections within {@link ConnectionLimits}, reports
+ * The HTTP server to which the application connects. It accepts connections within {@link ConnectionLimits}, reports
  * readiness, and shuts down without losing requests. The constructor, {@link #listen} and
  * {@link #holdReadinessForWarmUp} are called on the thread that starts the sidecar; all other methods on the event
  * loop.
  */
-public final class ClientServer {
+public final class SidecarHttpServer {
     private final ReadTrackingEventLoop eventLoop;
     private final MonotonicClock clock;
     private final RequestDispatcher dispatcher;
     private final RequestClasses requestClasses;
     private final RequestExchangeFactory exchangeFactory;
-    private final BooleanSupplier canServe;
+    private final BooleanSupplier canForwardRequests;
     private final ConnectionLimits limits;
     private final TrafficStatistics statistics;
     private final ClientConnections connections;
@@ -31,21 +31,21 @@
     private Runnable onRequestDuringWarmUp;
 
     /**
-     * {@code canServe} returns whether there are endpoints to forward requests to; the server is ready only then. It is
-     * called on the event loop.
+     * {@code canForwardRequests} returns whether there are endpoints to forward requests to; the server reports ready
+     * only if there are. It is called on the event loop.
      */
-    public ClientServer(
+    public SidecarHttpServer(
             ReadTrackingEventLoop eventLoop,
             RequestDispatcher dispatcher,
             List<RequestClass> requestClasses,
-            BooleanSupplier canServe,
+            BooleanSupplier canForwardRequests,
             ConnectionLimits limits,
             TrafficStatistics statistics) {
         this.eventLoop = eventLoop;
         clock = eventLoop.clock();
         this.dispatcher = dispatcher;
         this.requestClasses = new RequestClasses(requestClasses);
-        this.canServe = canServe;
+        this.canForwardRequests = canForwardRequests;
         this.limits = limits;
         this.statistics = statistics;
         connections = new ClientConnections(limits);
@@ -60,7 +60,7 @@
         requestClasses.replaceAll(replacements);
     }
 
-    /** How many connections of clients are open. */
+    /** Returns the number of open connections of clients. */
     public int openConnections() {
         return connections.size();
     }
@@ -74,7 +74,8 @@
     }
 
     /**
-     * Reports not ready until {@link #warmUpCompleted}. Until then {@code onRequest} runs for each accepted request.
+     * Makes the server report that it is not ready until {@link #warmUpCompleted} is called. Until then
+     * {@code onRequest} runs for each valid request, before it is dispatched.
      */
     public void holdReadinessForWarmUp(Runnable onRequest) {
         onRequestDuringWarmUp = onRequest;
@@ -84,7 +85,9 @@
         onRequestDuringWarmUp = null;
     }
 
-    /** A valid request was received and is about to be dispatched. */
+    /**
+     * Runs the callback of the warm-up if one is in progress. Called for each valid request, before it is dispatched.
+     */
     void requestAccepted() {
         if (isWarmingUp()) {
             onRequestDuringWarmUp.run();
@@ -92,7 +95,7 @@
     }
 
     boolean isReady() {
-        return !isShuttingDown() && !isWarmingUp() && canServe.getAsBoolean();
+        return !isShuttingDown() && !isWarmingUp() && canForwardRequests.getAsBoolean();
     }
 
     private boolean isWarmingUp() {
@@ -103,7 +106,7 @@
         return shutdown.isRequested();
     }
 
-    /** Whether one more connection may stay open for its client's next request. */
+    /** Returns whether one more connection may stay open for its client's next request. */
     boolean mayKeepIdleConnection() {
         return !isShuttingDown() && connections.mayKeepIdleConnection();
     }
@@ -132,9 +135,9 @@
     }
 
     /**
-     * Stops accepting at the maximum, because upstream connections need file descriptors too; further connections wait
-     * in the backlog. During a shutdown the maximum is ignored, so that connections already in the backlog are still
-     * served.
+     * Pauses or resumes accepting. Accepting is paused at the maximum number of connections, because upstream
+     * connections need file descriptors too; further connections wait in the backlog. During a shutdown the maximum is
+     * ignored, so that connections that are already in the backlog are still served.
      */
     private void updateAccepting() {
         boolean belowMaximum = isShuttingDown() || !connections.isFull();
@@ -142,9 +145,10 @@
     }
 
     /**
-     * Closes connections that waste a descriptor: those that sent no request, those whose request is incomplete for too
-     * long, and idle ones. Also resumes accepting once upstream connections have released descriptors. Called every 100
-     * ms by the sidecar's maintenance task.
+     * Closes connections that occupy a file descriptor without using it: those that have sent no request in time, those
+     * whose request has been incomplete for too long, and those that have been idle for too long. Also resumes
+     * accepting once upstream connections have released file descriptors. Called every 100 ms by the sidecar's
+     * maintenance task.
      */
     public void closeStalledConnections() {
         long nowMicros = clock.nowMicros();
@@ -154,8 +158,8 @@
     }
 
     /**
-     * Starts the shutdown: requests are served until clients have stopped sending. Runs {@code onStopped} on the event
-     * loop once the listener and all connections are closed.
+     * Starts the graceful shutdown: requests are served until clients have stopped sending them. Runs {@code onStopped}
+     * on the event loop once the listener and all connections are closed.
      */
     public void shutDownGracefully(Runnable onStopped) {
         shutdown.start(onStopped);
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.lifecycle;
 
 import java.util.concurrent.TimeUnit;
-import loadbalancer.proxy.client.ClientServer;
 import loadbalancer.proxy.client.RequestDispatcher;
+import loadbalancer.proxy.client.SidecarHttpServer;
 import loadbalancer.proxy.eventloop.EventLoopMonitor;
 import loadbalancer.proxy.eventloop.FaultIsolation;
 import loadbalancer.proxy.eventloop.MonotonicClock;
@@ -24,7 +24,7 @@
     private final MonotonicClock clock;
     private final EventLoopMonitor monitor;
     private final TrafficStatistics statistics;
-    private final ClientServer clients;
+    private final SidecarHttpServer clients;
     private final RequestDispatcher requests;
     private final UpstreamConnectionPool upstreams;
     private long previousRunMicros;
@@ -34,7 +34,7 @@
             ReadTrackingEventLoop eventLoop,
             EventLoopMonitor monitor,
             TrafficStatistics statistics,
-            ClientServer clients,
+            SidecarHttpServer clients,
             RequestDispatcher requests,
             UpstreamConnectionPool upstreams) {
         this.eventLoop = eventLoop;
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -5,9 +5,9 @@
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.LoadBalancer;
 import loadbalancer.decision.LoadBalancerActions;
-import loadbalancer.proxy.client.ClientServer;
 import loadbalancer.proxy.client.ConnectionLimits;
 import loadbalancer.proxy.client.RequestDispatcher;
+import loadbalancer.proxy.client.SidecarHttpServer;
 import loadbalancer.proxy.configuration.SidecarConfiguration;
 import loadbalancer.proxy.discovery.DiscoveryMode;
 import loadbalancer.proxy.discovery.DiscoveryWatch;
@@ -47,7 +47,7 @@
     private final RequestDispatcher requests;
     private final DiscoveryWatch discovery;
     private final GossipTransport gossip;
-    private final ClientServer clients;
+    private final SidecarHttpServer clients;
     private final MaintenanceTask maintenance;
     /** Replaced on the event loop only, but read by other threads too. */
     private volatile SidecarConfiguration configuration;
@@ -90,7 +90,7 @@
         discovery = newDiscoveryWatch(watchTimeouts, discoveryBackoff);
         gossip = new GossipTransport(
                 clock, loadBalancerExecutor, configuration.gossipPeers(), configuration.gossipBroadcastAddress());
-        clients = newClientServer();
+        clients = newHttpServer();
         maintenance = new MaintenanceTask(eventLoop, monitor, statistics, clients, requests, upstreams);
     }
 
@@ -117,8 +117,8 @@
                 backoff);
     }
 
-    private ClientServer newClientServer() {
-        return new ClientServer(
+    private SidecarHttpServer newHttpServer() {
+        return new SidecarHttpServer(
                 eventLoop,
                 requests,
                 settings().requestClasses(),
--- a/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
@@ -54,13 +54,13 @@
     @Test
     void theWaitInTheBacklogCountsForAPromptFirstRequestAlone() {
         activity.bytesReceived(ACCEPTED_MICROS + 1_000);
-        assertEquals(BACKLOG_WAIT_MICROS, activity.requestBacklogWaitMicros());
+        assertEquals(BACKLOG_WAIT_MICROS, activity.maxRequestBacklogWaitMicros());
         activity.requestReceived();
         activity.bytesReceived(ACCEPTED_MICROS + 2_000);
-        assertEquals(0, activity.requestBacklogWaitMicros());
+        assertEquals(0, activity.maxRequestBacklogWaitMicros());
 
         ConnectionActivity late = new ConnectionActivity(ACCEPTED_MICROS, BACKLOG_WAIT_MICROS);
         late.bytesReceived(ACCEPTED_MICROS + ReadTrackingEventLoop.MAX_READ_AGE_MICROS);
-        assertEquals(0, late.requestBacklogWaitMicros());
+        assertEquals(0, late.maxRequestBacklogWaitMicros());
     }
 }
--- a/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
@@ -84,21 +84,25 @@
     void aRejectionNamesWhatWasExpected() {
         FullHttpRequest withoutId = message(HttpMethod.GET, "read");
         withoutId.headers().remove("X-Txn");
-        assertRejected("one request id expected in X-Txn", withoutId);
-        assertRejected("the name of a known class expected in X-Lane", message(HttpMethod.GET, "unknown"));
+        assertRejected("expected exactly one request id in header X-Txn", withoutId);
+        assertRejected(
+                "expected the name of a known request class in header X-Lane", message(HttpMethod.GET, "unknown"));
         FullHttpRequest withoutTime = message(HttpMethod.GET, "read");
         withoutTime.headers().set("X-Remaining-Ms", "1.5");
-        assertRejected("whole milliseconds above 0 expected in X-Remaining-Ms", withoutTime);
-        assertRejected("GET expected for an idempotent class, POST for any other", message(HttpMethod.POST, "read"));
+        assertRejected("expected a positive whole number of milliseconds in header X-Remaining-Ms", withoutTime);
+        assertRejected(
+                "expected method GET for an idempotent request class, POST for any other class",
+                message(HttpMethod.POST, "read"));
         assertRejected(
-                "no body expected for an idempotent class",
+                "expected no body for an idempotent request class",
                 message(HttpMethod.GET, "read").replace(Unpooled.copiedBuffer("x", StandardCharsets.US_ASCII)));
-        assertRejected("one key expected in Idempotency-Key", message(HttpMethod.POST, "keyed"));
+        assertRejected(
+                "expected exactly one idempotency key in header Idempotency-Key", message(HttpMethod.POST, "keyed"));
         FullHttpRequest twoKeys = message(HttpMethod.POST, "write");
         twoKeys.headers().add("Idempotency-Key", List.of("key1", "key2"));
-        assertRejected("one key expected in Idempotency-Key", twoKeys);
+        assertRejected("expected exactly one idempotency key in header Idempotency-Key", twoKeys);
         assertRejected(
-                "a path of visible ASCII characters expected",
+                "expected a path of visible ASCII characters as the request target",
                 message(HttpMethod.GET, "read").setUri("/api/\u00e4"));
     }
 }
