--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -46,7 +46,7 @@
     RequestExchange create(ReceivedRequest received, ResponseHandler responseHandler) throws InvalidRequestException {
         ParsedRequest parsed = parser.parse(received.message());
         if (dispatcher.isOpen(parsed.id())) {
-            throw new InvalidRequestException("the request id is already used by an open request");
+            throw new InvalidRequestException("expected a request id that no other open request has");
         }
         long deadlineMicros = deadlineMicros(received, parsed.remainingMicros());
         long untilDeadlineMicros = deadlineMicros - eventLoop.clock().nowMicros();
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A late event loop finds the request of a client, its disconnection and other events all at once. In whatever order it
- * reads them, no attempt is sent for a client that has disconnected. The load balancer of these tests blocks the loop
- * on requests whose id begins with {@code block}.
+ * Guards against attempts that are sent for a client that has already disconnected. If the event loop is late, it reads
+ * the client's request, its disconnection and other events in one iteration and in any order. To make the loop late,
+ * the load balancer of these tests blocks it on requests whose id begins with {@code block}.
  */
 @Timeout(60)
 class ClientDisconnectTest {
-    /** The order in which the system reports ready sockets varies: each case is repeated. */
+    /** Each case is repeated, because the order in which the operating system reports ready sockets varies. */
     private static final int ROUNDS = 6;
 
     private final Semaphore blocked = new Semaphore(0);
@@ -66,15 +66,18 @@
         blocked.acquire();
     }
 
-    /** Waits first until a read from before the clients disconnected is too old to start an attempt after. */
+    /**
+     * Unblocks the loop after a wait, so that a read from before the clients disconnected is too old for an attempt to
+     * start.
+     */
     private void unblockLoop(StubServer.Client blocker) throws Exception {
         Thread.sleep(2 * ReadTrackingEventLoop.MAX_READ_AGE_MICROS / 1000);
         unblock.release();
         assertEquals(502, blocker.status());
     }
 
-    private static void disconnect(StubServer.Client client, Disconnection how) throws IOException {
-        if (how == Disconnection.RESET) {
+    private static void disconnect(StubServer.Client client, Disconnection disconnection) throws IOException {
+        if (disconnection == Disconnection.RESET) {
             client.socket.setSoLinger(true, 0);
         }
         client.close();
@@ -84,13 +87,16 @@
         assertEquals(expected, client.send(request).status());
     }
 
-    /** The attempt was withdrawn or never started: one with a response would have been sent. */
+    /**
+     * Asserts that the attempt was withdrawn or never started. An attempt that was sent would have another outcome,
+     * because the endpoint responds to it.
+     */
     private void assertNeverSent(String id) throws Exception {
         assertEquals("outcome " + id + " 0 NOT_SENT true -", sidecar.await("outcome " + id + " 0"));
     }
 
     @Test
-    void noAttemptStartsForARequestThatIsReadTogetherWithItsDisconnection() throws Exception {
+    void sendsNoAttemptForRequestReadTogetherWithDisconnection() throws Exception {
         sidecar.start();
         try (StubServer.Client blocker = sidecar.client()) {
             for (int round = 0; round < ROUNDS; round++) {
@@ -99,7 +105,7 @@
                 blockLoop(blocker, round);
                 accepted.send(SidecarFixture.get("gone" + round, 20_000));
                 disconnect(accepted, Disconnection.CLOSE);
-                // Waits in the listener's backlog, with its request and its end.
+                // This connection waits in the listener's backlog, together with its request and its end.
                 StubServer.Client unaccepted = sidecar.client();
                 unaccepted.send(SidecarFixture.get("new" + round, 20_000));
                 disconnect(unaccepted, Disconnection.CLOSE);
@@ -110,28 +116,33 @@
         }
     }
 
-    /** Adds the endpoint {@code full} to the list; requests whose id begins with {@code gone} are sent there. */
-    private void routeToFullEndpoint(ServerSocket server) {
-        String address = "127.0.0.1:" + server.getLocalPort();
+    /**
+     * Adds the endpoint {@code full} to the endpoint list and sends it the requests whose id begins with {@code gone}.
+     */
+    private void routeToFullEndpoint(ServerSocket endpoint) {
+        String address = "127.0.0.1:" + endpoint.getLocalPort();
         sidecar.discovery.script = (request, connection) -> {
             if (request.path().contains("index=41&")) {
                 String entry = SidecarFixture.entry("full", address, "Ready", 0);
                 connection.respond("200 OK", "", SidecarFixture.list(42, false, entry));
             }
         };
-        SidecarFixture.RequestHandler others = sidecar.onRequest;
+        SidecarFixture.RequestHandler defaultHandler = sidecar.onRequest;
         sidecar.onRequest = (now, request, out) -> {
             if (request.id().startsWith("gone")) {
                 out.sendAttempt(request.id(), "full", 0);
             } else {
-                others.handle(now, request, out);
+                defaultHandler.handle(now, request, out);
             }
         };
     }
 
-    /** A connection to an endpoint with a full backlog is established once the test accepts the ones before it. */
+    /**
+     * The backlog of the endpoint is full, so the connection for the attempt is established only when the test accepts
+     * the connections before it.
+     */
     @Test
-    void noAttemptStartsOnAConnectionThatIsEstablishedAsTheClientDisconnects() throws Exception {
+    void sendsNoAttemptOnConnectionEstablishedDuringDisconnection() throws Exception {
         try (ServerSocket endpoint = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             routeToFullEndpoint(endpoint);
             sidecar.start();
@@ -144,7 +155,7 @@
                     StubServer.Client client = sidecar.client();
                     client.send(SidecarFixture.get("gone" + round, 20_000));
                     sidecar.await("request gone" + round);
-                    // Read in a later iteration: by then the connection for the attempt is being opened.
+                    // This request is read in a later iteration, when the attempt's connection is already being opened.
                     assertStatus(404, blocker, "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
                     blockLoop(blocker, round);
                     disconnect(client, Disconnection.ofRound(round));
@@ -156,14 +167,16 @@
                         unblockLoop(blocker);
                         assertNeverSent("gone" + round);
                         assertEquals(
-                                -1, established.getInputStream().read(), "sent for a client that has disconnected");
+                                -1,
+                                established.getInputStream().read(),
+                                "an attempt was sent for a client that had disconnected");
                     }
                 }
             }
         }
     }
 
-    private void awaitAtFirstEndpoint(String id) throws InterruptedException {
+    private void awaitRequestAtFirstEndpoint(String id) throws InterruptedException {
         StubServer.Message request;
         do {
             request = sidecar.endpointServers.get(0).next();
@@ -171,11 +184,12 @@
     }
 
     /**
-     * The load balancer sends requests {@code warm} to the second endpoint, which leaves an idle connection there, and
-     * fails requests {@code rest} with a timer that ends once that connection may be used again.
+     * Makes the load balancer send requests whose id begins with {@code warm} to the second endpoint, which leaves an
+     * idle connection to it. For requests whose id begins with {@code rest}, the load balancer starts a timer that
+     * fires once that connection may be reused, and fails the request.
      */
     private void routeWarmUpToSecondEndpoint() {
-        SidecarFixture.RequestHandler others = sidecar.onRequest;
+        SidecarFixture.RequestHandler defaultHandler = sidecar.onRequest;
         sidecar.onRequest = (now, request, out) -> {
             if (request.id().startsWith("warm")) {
                 out.sendAttempt(request.id(), "u1", 0);
@@ -183,13 +197,13 @@
                 out.startTimer("rested", 2 * UpstreamConnectionPool.REUSE_DELAY_MICROS);
                 out.fail(request.id());
             } else {
-                others.handle(now, request, out);
+                defaultHandler.handle(now, request, out);
             }
         };
     }
 
     @Test
-    void noRetryStartsWhereAFailureIsReadTogetherWithTheDisconnection() throws Exception {
+    void sendsNoRetryAfterFailureReadTogetherWithDisconnection() throws Exception {
         Semaphore fail = new Semaphore(0);
         Semaphore failed = new Semaphore(0);
         sidecar.endpointServers.get(0).script = (request, connection) -> {
@@ -211,13 +225,13 @@
         sidecar.start();
         try (StubServer.Client blocker = sidecar.client()) {
             for (int round = 0; round < ROUNDS; round++) {
-                // The retry would find a connection that it could be written to at once.
+                // Leaves an idle connection to the second endpoint, on which a retry could be written at once.
                 assertStatus(200, blocker, SidecarFixture.get("warm" + round, 20_000));
                 assertStatus(502, blocker, SidecarFixture.get("rest" + round, 20_000));
                 sidecar.await("timer rested");
                 StubServer.Client client = sidecar.client();
                 client.send(SidecarFixture.get("gone" + round, 20_000));
-                awaitAtFirstEndpoint("gone" + round);
+                awaitRequestAtFirstEndpoint("gone" + round);
                 blockLoop(blocker, round);
                 fail.release();
                 failed.acquire();
@@ -227,7 +241,9 @@
             }
         }
         for (StubServer.Message request : secondEndpoint.messages) {
-            assertTrue(request.header("X-Txn").startsWith("warm"), "sent for a client that has disconnected");
+            assertTrue(
+                    request.header("X-Txn").startsWith("warm"),
+                    "an attempt was sent for a client that had disconnected");
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/client/ClientResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientResponseTest.java
@@ -10,21 +10,21 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The exact bytes of the responses to clients. */
+/** Checks the exact bytes of the responses to clients. */
 class ClientResponseTest {
     private static String encode(ClientResponse response, ConnectionReuse reuse) {
         EmbeddedChannel channel = new EmbeddedChannel(new HttpResponseEncoder());
         channel.writeOutbound(response.toHttpResponse(reuse));
         StringBuilder text = new StringBuilder();
-        for (ByteBuf part; (part = channel.readOutbound()) != null; part.release()) {
-            text.append(part.toString(StandardCharsets.US_ASCII));
+        for (ByteBuf buffer; (buffer = channel.readOutbound()) != null; buffer.release()) {
+            text.append(buffer.toString(StandardCharsets.US_ASCII));
         }
         channel.finishAndReleaseAll();
         return text.toString();
     }
 
     @Test
-    void aServedResponseHasTheBodyOfTheEndpoint() {
+    void writesBodyOfServedResponse() {
         ByteBuf body = Unpooled.copiedBuffer("served", StandardCharsets.US_ASCII);
         assertEquals(
                 "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nserved",
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aRejectionMaySuggestWhenToRetry() {
+    void writesRetryAfterUnlessItIsZero() {
         assertEquals(
                 "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nretry-after: 0.165\r\n\r\n",
                 encode(ClientResponse.rejected(165_000), ConnectionReuse.KEEP_ALIVE));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theLastResponseOfAConnectionSaysSo() {
+    void writesConnectionCloseInLastResponse() {
         assertEquals(
                 "HTTP/1.1 502 Bad Gateway\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
                 encode(ClientResponse.withoutBody(HttpResponseStatus.BAD_GATEWAY), ConnectionReuse.CLOSE));
--- a/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
@@ -7,7 +7,7 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 import org.junit.jupiter.api.Test;
 
-/** When a client's connection is given up, and how much of its wait in the backlog counts for a request. */
+/** Checks when a client's connection times out, and how much of its wait in the accept backlog counts for a request. */
 class ConnectionActivityTest {
     private static final long ACCEPTED_MICROS = 5_000_000;
     private static final long BACKLOG_WAIT_MICROS = 700_000;
@@ -15,14 +15,14 @@
     private final ConnectionActivity activity = new ConnectionActivity(ACCEPTED_MICROS, BACKLOG_WAIT_MICROS);
 
     @Test
-    void aSilentConnectionTimesOutTwoSecondsAfterItIsAccepted() {
+    void timesOutSilentConnectionTwoSecondsAfterAccept() {
         assertFalse(activity.isIdleTimedOut(ACCEPTED_MICROS + 2_000_000));
         assertTrue(activity.isIdleTimedOut(ACCEPTED_MICROS + 2_000_001));
         assertFalse(activity.isRequestTimedOut(ACCEPTED_MICROS + 2_000_001));
     }
 
     @Test
-    void theFirstRequestTimesOutTwoSecondsAfterItsConnectionIsAccepted() {
+    void timesOutFirstRequestTwoSecondsAfterAccept() {
         activity.bytesReceived(ACCEPTED_MICROS + 1_900_000);
         assertTrue(activity.isReceivingRequest());
         assertFalse(activity.isRequestTimedOut(ACCEPTED_MICROS + 2_000_000));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aLaterRequestTimesOutTwoSecondsAfterItsFirstByte() {
+    void timesOutLaterRequestTwoSecondsAfterItsFirstByte() {
         activity.bytesReceived(ACCEPTED_MICROS);
         activity.requestReceived();
         long startMicros = ACCEPTED_MICROS + 3_000_000;
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aConnectionBetweenRequestsTimesOutFourSecondsAfterItsLastResponse() {
+    void timesOutIdleConnectionFourSecondsAfterLastResponse() {
         activity.bytesReceived(ACCEPTED_MICROS);
         activity.requestReceived();
         long responseMicros = ACCEPTED_MICROS + 10_000_000;
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void theWaitInTheBacklogCountsForAPromptFirstRequestAlone() {
+    void countsBacklogWaitOnlyForFirstRequestReadAfterAccept() {
         activity.bytesReceived(ACCEPTED_MICROS + 1_000);
         assertEquals(BACKLOG_WAIT_MICROS, activity.maxRequestBacklogWaitMicros());
         activity.requestReceived();
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What the sidecar makes of requests and configurations that it cannot use. */
+/** Checks how the sidecar handles invalid requests, incomplete requests and invalid configurations. */
 @Timeout(60)
 class MalformedInputTest {
     private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void invalidRequestsGetTheStatusThatSaysWhy() throws Exception {
+    void respondsToRequestWithStatusOfItsError() throws Exception {
         String valid = SidecarFixture.get("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
@@ -76,25 +76,25 @@
     }
 
     /**
-     * Where two readers may disagree on the end of a request, nothing behind it is forwarded. The error response does
-     * not wait for a body of an excessive length.
+     * Guards against request smuggling: if two parsers may disagree on the end of a request, nothing that follows it is
+     * forwarded. The error response does not wait for a body that is too long.
      */
     @Test
-    void aRequestHiddenInABodyIsNotForwardedAndTheConnectionCloses() throws Exception {
-        String hidden = SidecarFixture.get("hidden", 9000);
+    void closesConnectionWithoutForwardingSmuggledRequest() throws Exception {
+        String smuggled = SidecarFixture.get("hidden", 9000);
         String head = "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k1\r\n";
         String chunked = "Transfer-Encoding: chunked\r\n";
         Map<String, Integer> cases = new LinkedHashMap<>();
-        cases.put(head + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 4\r\n" + chunked + "\r\n0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Transfer-Encoding: identity\r\n\r\n" + hidden, 400);
-        cases.put(head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 4\r\nContent-Length: 0\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: -1\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 0x10\r\n\r\n" + hidden, 400);
-        cases.put(head + "Content-Length: 60000000\r\n\r\n" + hidden, 413);
-        cases.put(head + chunked + "\r\nzz\r\n" + hidden, 400);
-        cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + hidden, 400);
+        cases.put(head + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 4\r\n" + chunked + "\r\n0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Transfer-Encoding: identity\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 4\r\nContent-Length: 0\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: -1\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 0x10\r\n\r\n" + smuggled, 400);
+        cases.put(head + "Content-Length: 60000000\r\n\r\n" + smuggled, 413);
+        cases.put(head + chunked + "\r\nzz\r\n" + smuggled, 400);
+        cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + smuggled, 400);
         try (SidecarFixture sidecar = new SidecarFixture()) {
             StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
@@ -105,13 +105,13 @@
                     assertTrue(client.isClosedBySidecar(), entry.getKey());
                 }
             }
-            assertTrue(endpoint.messages.isEmpty(), "a hidden request was forwarded");
+            assertTrue(endpoint.messages.isEmpty(), "a smuggled request was forwarded");
         }
     }
 
-    /** The error response to an unreadable request must not overtake the response to the one before it. */
+    /** The error response to an invalid request must not overtake the response to the request before it. */
     @Test
-    void anErrorResponseWaitsForThePendingResponse() throws Exception {
+    void writesErrorResponseAfterPendingResponse() throws Exception {
         ResponseGate gate = new ResponseGate();
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {
@@ -131,9 +131,12 @@
         }
     }
 
-    /** Silent clients and incomplete requests hold descriptors; each is given up within 3 s of connecting. */
+    /**
+     * Silent clients and incomplete requests occupy file descriptors, so their connections are closed within 3 s of
+     * connecting.
+     */
     @Test
-    void silentClientsAndIncompleteRequestsAreGivenUp() throws Exception {
+    void closesConnectionsOfSilentClientsAndIncompleteRequests() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
@@ -148,14 +151,16 @@
                 assertEquals(408, partialHead.status());
                 assertEquals(408, partialBody.status());
                 assertTrue(partialHead.isClosedBySidecar() && partialBody.isClosedBySidecar());
-                assertTrue(afterOneRequest.isClosedBySidecar(), "a connection is kept for good after a single request");
+                assertTrue(
+                        afterOneRequest.isClosedBySidecar(),
+                        "the connection stays open forever after a single request");
             }
         }
     }
 
-    /** A longer time in the header would keep the request, and what it holds, for days. */
+    /** Without this limit, a client could make the sidecar hold a request and its resources for days. */
     @Test
-    void noRequestIsKeptLongerThanItsClassAllows() throws Exception {
+    void limitsRemainingTimeOfRequestToDeadlineOfItsClass() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
@@ -166,15 +171,15 @@
         }
     }
 
-    /** A response must not go to two clients. */
+    /** If two open requests had the same id, one response could go to two clients. */
     @Test
-    void theIdOfAnOpenRequestIsRejected() throws Exception {
+    void rejectsIdOfOpenRequest() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {});
             sidecar.start();
-            try (StubServer.Client one = sidecar.client();
+            try (StubServer.Client first = sidecar.client();
                     StubServer.Client other = sidecar.client()) {
-                one.send(SidecarFixture.get("a1", 20_000));
+                first.send(SidecarFixture.get("a1", 20_000));
                 sidecar.await("request a1");
                 assertStatus(400, other, SidecarFixture.get("a1", 20_000));
             }
@@ -183,7 +188,7 @@
 
     /** Without an endpoint the application's requests would fail at once. */
     @Test
-    void readyOnlyOnceThereIsAnEndpoint() throws Exception {
+    void reportsNotReadyWithoutEndpoint() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
@@ -202,7 +207,7 @@
     }
 
     @Test
-    void anInvalidConfigurationIsReportedInOneLineThatNamesTheField() throws Exception {
+    void reportsInvalidConfigurationInOneLineWithFieldName() throws Exception {
         String valid = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\","
                 + "\"seed\":\"8c1f30d27a5be964\","
                 + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events that meet in one iteration of the event loop, in which no connection can be established. */
+/** Checks events that occur in one iteration of the event loop, in which no connection can be established. */
 @Timeout(60)
 class RequestDispatcherTest {
     private final MonotonicClock clock = new MonotonicClock();
@@ -41,7 +41,7 @@
     private UpstreamConnectionPool upstreams;
 
     @BeforeEach
-    void start() throws Exception {
+    void createDispatcher() throws Exception {
         loop.submit(() -> {
                     LoadBalancerExecutor loadBalancer = new LoadBalancerExecutor(clock, new EventLoopMonitor(clock));
                     loadBalancer.start(actions -> recordingLoadBalancer(), null);
@@ -58,11 +58,14 @@
     }
 
     @AfterEach
-    void end() {
+    void shutDownEventLoop() {
         eventLoop.shutDown();
     }
 
-    /** Does nothing, and records each of its calls: the name of the method and the result of an attempt. */
+    /**
+     * Creates a load balancer that does nothing but record each call: the name of the method and the result of an
+     * attempt, if there is one.
+     */
     private LoadBalancer recordingLoadBalancer() {
         return (LoadBalancer) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
@@ -117,23 +120,27 @@
                 .sync();
     }
 
-    /** Whether its client disconnects or it has its response: an attempt that waits for a connection is not sent. */
+    /**
+     * An attempt that waits for its connection is not sent once its request is completed, be it by the client's
+     * disconnection, a rejection or a failure.
+     */
     @Test
-    void anAttemptThatWaitsForItsConnectionIsNotSentOnceItsRequestIsCompleted() throws Exception {
-        try (StubServer server = new StubServer((m, line) -> line.respond("200 OK", "", m.header("X-Txn")))) {
+    void withdrawsWaitingAttemptOfCompletedRequest() throws Exception {
+        try (StubServer server =
+                new StubServer((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")))) {
             setEndpoint("u0", server);
-            for (String end : new String[] {"disconnected", "rejected", "failed"}) {
+            for (String completion : new String[] {"disconnected", "rejected", "failed"}) {
                 loop.execute(() -> {
-                    RequestExchange exchange = exchange(end);
+                    RequestExchange exchange = exchange(completion);
                     dispatcher.dispatch(exchange);
-                    dispatcher.sendAttempt(end, "u0", 0);
-                    switch (end) {
+                    dispatcher.sendAttempt(completion, "u0", 0);
+                    switch (completion) {
                         case "disconnected" -> dispatcher.clientDisconnected(exchange);
-                        case "rejected" -> dispatcher.reject(end, 0);
-                        default -> dispatcher.fail(end);
+                        case "rejected" -> dispatcher.reject(completion, 0);
+                        default -> dispatcher.fail(completion);
                     }
                 });
-                await("onAttemptOutcome " + end + " NOT_SENT true");
+                await("onAttemptOutcome " + completion + " NOT_SENT true");
             }
             assertEquals(0, loop.submit(dispatcher::openRequests).get());
             loop.execute(() -> {
@@ -145,10 +152,12 @@
         }
     }
 
-    /** Whoever looks for a late request finds its attempts under its id. */
+    /**
+     * The line has the id of the request and all of its attempts, so that the log shows the cause of a late response.
+     */
     @Test
-    void theLogLineOfALateResponseListsItsAttempts() throws Exception {
-        try (StubServer server = new StubServer((m, line) -> line.respond("500 No", "", ""))) {
+    void listsAttemptsInLogLineOfLateResponse() throws Exception {
+        try (StubServer server = new StubServer((request, connection) -> connection.respond("500 No", "", ""))) {
             setEndpoint("u0", server);
             RequestExchange exchange = exchange("late");
             loop.execute(() -> {
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Every accepted request gets one final response, whatever the load balancer and the client do. */
+/** Checks that every accepted request gets exactly one final response, whatever the load balancer and the client do. */
 @Timeout(60)
 class RequestLifecycleTest {
     private static final String UNKNOWN_PATH = "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aRejectionIsWrittenAtOnceWithRetryAfter() throws Exception {
+    void writesRejectionAtOnceWithRetryAfter() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.onRequest = (now, request, out) -> {
                 out.reject(request.id(), 165_000);
@@ -35,15 +35,15 @@
                 StubServer.Message response = client.readResponse();
                 assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
                 assertEquals("0.165", response.header("Retry-After"));
-                // The next response belongs to the next request: the first has one response only.
+                // The next response belongs to the next request, because the first request gets only one response.
                 assertStatus(404, client, UNKNOWN_PATH);
             }
         }
     }
 
-    /** The client's time must not run out where the load balancer decides nothing. */
+    /** The client gets a response before it stops waiting even if the load balancer makes no decision. */
     @Test
-    void aRequestWithoutADecisionFailsBeforeItsDeadline() throws Exception {
+    void failsRequestWithoutDecisionBeforeClientStopsWaiting() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.onRequest = (now, request, out) -> {};
             sidecar.start();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void attemptsTimeOutAtTheDeadlineAndTheLoadBalancerResponds() throws Exception {
+    void timesOutAttemptAtDeadlineAndLetsLoadBalancerRespond() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {});
             sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 60_000_000);
@@ -67,9 +67,9 @@
         }
     }
 
-    /** An exception of the load balancer fails the request that it handled and nothing else. */
+    /** If the load balancer throws an exception, only the request that it was handling fails. */
     @Test
-    void anExceptionOfTheLoadBalancerFailsItsRequestAlone() throws Exception {
+    void failsOnlyRequestForWhichLoadBalancerThrows() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
             sidecar.onRequest = (now, request, out) -> {
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aDisconnectedClientEndsItsRequestAndNoOther() throws Exception {
+    void endsOnlyRequestOfDisconnectedClient() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {});
             sidecar.start();
@@ -106,9 +106,9 @@
         }
     }
 
-    /** A half-closed connection counts as closed: the two cannot be told apart in time. */
+    /** A half-closed connection counts as closed, because the sidecar cannot distinguish the two in time. */
     @Test
-    void aClientThatShutsDownItsOutputHasDisconnected() throws Exception {
+    void treatsHalfClosedConnectionAsDisconnected() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {});
             sidecar.start();
@@ -122,9 +122,9 @@
         }
     }
 
-    /** The response to a hedged request, or one after the final response, must not reach the client. */
+    /** A response that arrives after the final response, as with a hedged request, must not reach the client. */
     @Test
-    void theFirstResponseIsFinalAndALaterOneIsOnlyReported() throws Exception {
+    void writesFirstResponseAndOnlyReportsLaterOne() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             BlockingQueue<StubServer.Connection> unanswered = new LinkedBlockingQueue<>();
             sidecar.upstream((request, connection) -> unanswered.add(connection));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void attemptsBeyondTheMaximumAreNotSent() throws Exception {
+    void sendsNoAttemptBeyondMaximum() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
             sidecar.onOutcome = (id, outcome, done, out) -> {
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+    void respondsToPipelinedRequestsInOrder() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
             sidecar.start();
@@ -192,9 +192,12 @@
         return requests.toString();
     }
 
-    /** The end of the connection is noticed behind any number of pipelined requests, and none of them is dispatched. */
+    /**
+     * The client's disconnection is noticed behind any number of pipelined requests, and none of the waiting requests
+     * is dispatched.
+     */
     @Test
-    void aDisconnectBehindPipelinedRequestsIsNoticed() throws Exception {
+    void noticesDisconnectionBehindPipelinedRequests() throws Exception {
         for (int count : new int[] {2, 20, 2_000}) {
             try (SidecarFixture sidecar = new SidecarFixture()) {
                 sidecar.upstream((request, connection) -> {});
@@ -213,9 +216,12 @@
         }
     }
 
-    /** A client that pipelines too much gets the responses so far, a rejection and the end of the connection. */
+    /**
+     * A client that pipelines too many requests gets the responses to the first requests and a 503; then the connection
+     * closes.
+     */
     @Test
-    void pipeliningIsBounded() throws Exception {
+    void limitsPipelinedRequests() throws Exception {
         ResponseGate gate = new ResponseGate();
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.upstream((request, connection) -> {
@@ -233,18 +239,21 @@
                     assertEquals("p" + served++, response.body());
                 }
                 assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
-                assertTrue(served > 40 && served < 2_000, served + " were served");
+                assertTrue(served > 40 && served < 2_000, served + " requests were served");
                 assertTrue(client.isClosedBySidecar());
             }
         }
     }
 
-    /** With as many clients as may have requests there are descriptors for as many upstream connections. */
+    /**
+     * Even if as many clients as allowed have requests, there are enough file descriptors for an upstream connection
+     * for each of them.
+     */
     @Test
-    void descriptorsSufficeForAnUpstreamConnectionPerClient() throws Exception {
+    void reservesDescriptorForUpstreamConnectionOfEachClient() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer silent = sidecar.upstream((request, connection) -> {});
-            // 48 are reserved for the process; a third of all is for clients with requests.
+            StubServer endpoint = sidecar.upstream((request, connection) -> {});
+            // 48 descriptors are reserved for the process; a third of all descriptors is for clients with requests.
             sidecar.descriptorLimit = 192;
             sidecar.start();
             StubServer.Client[] clients = new StubServer.Client[192 / 3];
@@ -253,7 +262,7 @@
                 clients[i].send(SidecarFixture.get("c" + i, 30_000));
             }
             for (int i = 0; i < clients.length; i++) {
-                silent.next();
+                endpoint.next();
             }
             for (StubServer.Client client : clients) {
                 client.close();
@@ -261,9 +270,9 @@
         }
     }
 
-    /** As the protocol has it, however slowly the client writes the request. */
+    /** The protocol requires this, however slowly the client sends the request. */
     @Test
-    void theDeadlineIsCountedFromTheLastByteOfTheRequest() throws Exception {
+    void countsDeadlineFromLastByteOfRequest() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             sidecar.onRequest = (now, request, out) -> out.fail(request.id());
             sidecar.start();
@@ -277,7 +286,8 @@
                         Long.parseLong(sidecar.await("request slow ").split(" ")[2]);
                 assertTrue(
                         remainingMicros > 100_000,
-                        "the client waits for 200 ms, dispatched with " + remainingMicros + " us");
+                        "the client waits for 200 ms, but the request was dispatched with " + remainingMicros
+                                + " us remaining");
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.settings.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** What the headers of a request are read as, and what a rejected one is said to lack. */
+/** Checks how the headers of a request are parsed, and the message of the exception for an invalid request. */
 class RequestParserTest {
     private final RequestParser parser = new RequestParser(new RequestClasses(List.of(
             requestClass("read", Idempotency.IDEMPOTENT),
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void requiredHeadersAreReadAndOptionalOnesMayBeMissing() throws Exception {
+    void parsesRequiredHeadersWithoutOptionalOnes() throws Exception {
         ParsedRequest parsed = parser.parse(message(HttpMethod.GET, "read"));
         assertEquals("a1", parsed.id());
         assertEquals("read", parsed.requestClass().name());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void optionalHeadersAreRead() throws Exception {
+    void parsesOptionalHeaders() throws Exception {
         FullHttpRequest message =
                 message(HttpMethod.POST, "keyed").replace(Unpooled.copiedBuffer("body", StandardCharsets.US_ASCII));
         message.headers()
@@ -74,14 +74,14 @@
     }
 
     @Test
-    void theClassBoundsHowLongAClientIsBelievedToWait() throws Exception {
+    void limitsRemainingTimeToDeadlineOfClass() throws Exception {
         FullHttpRequest message = message(HttpMethod.GET, "read");
         message.headers().set("X-Remaining-Ms", "999999999");
         assertEquals(2_000_000, parser.parse(message).remainingMicros());
     }
 
     @Test
-    void aRejectionNamesWhatWasExpected() {
+    void namesExpectationInException() {
         FullHttpRequest withoutId = message(HttpMethod.GET, "read");
         withoutId.headers().remove("X-Txn");
         assertRejected("expected exactly one request id in header X-Txn", withoutId);
--- a/src/test/java/loadbalancer/proxy/client/ResponseGate.java
+++ b/src/test/java/loadbalancer/proxy/client/ResponseGate.java
@@ -3,7 +3,7 @@
 import java.io.InterruptedIOException;
 import java.util.concurrent.CountDownLatch;
 
-/** Holds back the responses of a stub server until the test opens the gate, for good. */
+/** Blocks the responses of a stub server until the test opens the gate. An open gate stays open. */
 final class ResponseGate {
     private final CountDownLatch opened = new CountDownLatch(1);
 
