--- a/src/main/java/loadbalancer/proxy/client/ClientConnections.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnections.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Closes one idle connection if the maximum number of connections is reached. Prefers connections that have never
-     * sent a request, and among equals the one whose last activity is the longest ago.
+     * Closes one idle connection if the maximum number of connections is reached: the one with the earliest last
+     * activity, but preferably one that has never sent a request.
      */
     void evictIdleConnectionIfFull(long nowMicros) {
         if (isFull()) {
--- a/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
@@ -3,8 +3,8 @@
 import loadbalancer.proxy.eventloop.ReadTrackingEventLoop;
 
 /**
- * When a client's connection was accepted and last used, and whether it is in the middle of a request. All times are in
- * microseconds of the {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop.
+ * Records when a client's connection was accepted and last used, and whether a request is partly received. All times
+ * are in microseconds of the {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop.
  */
 final class ConnectionActivity {
     /**
@@ -76,8 +76,8 @@
      * right after the connection was accepted. Must be called before {@link #requestReceived}.
      */
     long maxRequestBacklogWaitMicros() {
-        boolean readAfterAccept = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
-        return !requestReceived && readAfterAccept ? maxBacklogWaitMicros : 0;
+        boolean readRightAfterAccept = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
+        return !requestReceived && readRightAfterAccept ? maxBacklogWaitMicros : 0;
     }
 
     boolean isRequestTimedOut(long nowMicros) {
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -107,8 +107,8 @@
     }
 
     /**
-     * Closes the listener and the connections that are idle once the serving phase is over; completes the shutdown when
-     * all of them are closed.
+     * After the serving phase, closes the listener and the connections as they become idle, and completes the shutdown
+     * when all of them are closed.
      */
     private void check() {
         long nowMicros = eventLoop.clock().nowMicros();
--- a/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
@@ -10,8 +10,8 @@
 final class PipelinedRequests {
     /**
      * Maximum estimated memory of the pipelined requests of one connection; well-behaved clients do not pipeline at
-     * all. A client that exceeds the limit gets an error response. The sidecar does not just stop reading the socket
-     * instead, because then it would not notice the client's disconnect.
+     * all. A client that exceeds the limit gets an error response. The sidecar keeps reading the socket nevertheless,
+     * because otherwise it would not notice the client's disconnect.
      */
     private static final int MAX_BYTES = 4 * ProtocolConstants.MAX_REQUEST_BODY_BYTES;
 
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -167,7 +167,7 @@
 
     /**
      * Fails the open requests that have no attempt in flight. Called after the load balancer has thrown an exception in
-     * a timer, because it may have lost track of them.
+     * a timer and may have lost track of these requests.
      */
     public void failRequestsWithoutAttemptInFlight() {
         for (RequestExchange exchange : List.copyOf(exchanges.values())) {
--- a/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ConnectionActivityTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void countsBacklogWaitOnlyForFirstRequestReadAfterAccept() {
+    void countsBacklogWaitOnlyForFirstRequestReadRightAfterAccept() {
         activity.bytesReceived(ACCEPTED_MICROS + 1_000);
         assertEquals(BACKLOG_WAIT_MICROS, activity.maxRequestBacklogWaitMicros());
         activity.requestReceived();
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -121,7 +121,7 @@
     }
 
     /**
-     * An attempt that waits for its connection is not sent once its request is completed, be it by the client's
+     * An attempt that waits for its connection is not sent once its request is completed, whether by the client's
      * disconnection, a rejection or a failure.
      */
     @Test
