--- a/src/main/java/loadbalancer/proxy/discovery/CallFailure.java
+++ b/src/main/java/loadbalancer/proxy/discovery/CallFailure.java
@@ -6,7 +6,10 @@
     CONNECT_FAILED("connect_failed"),
     CONNECTION_CLOSED("connection_closed"),
     UNEXPECTED_STATUS("unexpected_status"),
-    /** The body is not an endpoint list, or is a delta that does not continue the known list. */
+    /**
+     * The body is not an endpoint list, is an empty full snapshot, or is a delta that can't be applied to the known
+     * list.
+     */
     MALFORMED_LIST("malformed_list");
 
     private final String logName;
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -23,36 +23,40 @@
 
 /**
  * Fetches endpoint lists over one keep-alive connection, one call at a time. All methods and callbacks run on the event
- * loop that owns the connection. Response buffers are released here after parsing.
+ * loop that owns the connection. This class releases the buffer of each response after parsing.
  */
 final class DiscoveryClient {
-    /** Called exactly once for each call that is not cancelled. It may start the next call. */
+    /** Is called exactly once for each call that is not cancelled. An implementation may start the next call. */
     interface Listener {
         void onResponse(EndpointList list);
 
-        /** The call failed and its connection is closed. {@code detail} is a key and value for the log, or empty. */
+        /**
+         * Handles the failure of a call, whose connection is already closed.
+         *
+         * @param detail a key and a value for the log, in the form {@code key=value}; empty if there is none
+         */
         void onFailure(CallFailure failure, String detail);
     }
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    /** Enough for a list of several thousand endpoints. */
+    /** Large enough for a list of several thousand endpoints. */
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Listener listener;
-    /** Null before the first call and after the connection was closed here. */
+    /** Null before the first call, and after this client has closed the connection. */
     private Channel channel;
-    /** The call in flight, or null. Events of any other call are outdated and ignored. */
-    private Call inFlight;
+    /** Null if no call is in flight. Events of any other call are outdated and are ignored. */
+    private Call callInFlight;
 
-    /** One call. Compared by identity, to recognize events of earlier calls. */
+    /** One call to discovery. Calls are compared by identity, which identifies events of earlier calls. */
     private static final class Call {
-        final String target;
+        final String requestTarget;
         Future<?> timeout;
 
-        Call(String target) {
-            this.target = target;
+        Call(String requestTarget) {
+            this.requestTarget = requestTarget;
         }
     }
 
@@ -62,14 +66,18 @@
         bootstrap = ClientBootstraps.http(loop, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, ResponseHandler::new);
     }
 
-    boolean callInFlight() {
-        return inFlight != null;
+    boolean hasCallInFlight() {
+        return callInFlight != null;
     }
 
-    /** Starts a call; none may be in flight. {@code address} is used only if a new connection has to be opened. */
-    void fetch(InetSocketAddress address, String target, long timeoutMillis) {
-        Call call = new Call(target);
-        inFlight = call;
+    /**
+     * Starts a call. Must not be called while a call is in flight.
+     *
+     * @param address the address of the service, used only if a new connection has to be opened
+     */
+    void fetch(InetSocketAddress address, String requestTarget, long timeoutMillis) {
+        Call call = new Call(requestTarget);
+        callInFlight = call;
         call.timeout = loop.schedule(() -> fail(call, CallFailure.TIMEOUT, ""), timeoutMillis, TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
             write(call);
@@ -78,36 +86,36 @@
         }
     }
 
-    /** Ends the call in flight, if any, without calling the listener, and closes the connection. */
+    /** Cancels the call in flight, if there is one, without calling the listener, and closes the connection. */
     void cancel() {
-        if (inFlight != null) {
+        if (callInFlight != null) {
             finishCall();
         }
         closeConnection();
     }
 
     void closeConnection() {
-        Channel closing = channel;
+        Channel channelToClose = channel;
         channel = null;
-        if (closing != null) {
-            closing.close();
+        if (channelToClose != null) {
+            channelToClose.close();
         }
     }
 
     private void connect(InetSocketAddress address, Call call) {
-        ChannelFuture connecting = bootstrap.connect(address);
-        channel = connecting.channel();
-        connecting.addListener(connected -> {
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        channel = connectFuture.channel();
+        connectFuture.addListener(connected -> {
             if (!connected.isSuccess()) {
                 fail(call, CallFailure.CONNECT_FAILED, "");
-            } else if (inFlight == call) {
+            } else if (callInFlight == call) {
                 write(call);
             }
         });
     }
 
     private void write(Call call) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, call.target);
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, call.requestTarget);
         request.headers().set("Host", "discovery");
         channel.writeAndFlush(request).addListener(written -> {
             if (!written.isSuccess()) {
@@ -117,12 +125,12 @@
     }
 
     private void finishCall() {
-        inFlight.timeout.cancel(false);
-        inFlight = null;
+        callInFlight.timeout.cancel(false);
+        callInFlight = null;
     }
 
     private void fail(Call call, CallFailure failure, String detail) {
-        if (inFlight != call) {
+        if (callInFlight != call) {
             return;
         }
         finishCall();
@@ -131,17 +139,17 @@
         listener.onFailure(failure, detail);
     }
 
-    private void receive(FullHttpResponse response) {
+    private void handleResponse(FullHttpResponse response) {
         int status = response.status().code();
         if (status != HttpResponseStatus.OK.code() || !response.decoderResult().isSuccess()) {
-            fail(inFlight, CallFailure.UNEXPECTED_STATUS, "status=" + status);
+            fail(callInFlight, CallFailure.UNEXPECTED_STATUS, "status=" + status);
             return;
         }
         EndpointList list;
         try {
             list = EndpointList.parse(ByteBufUtil.getBytes(response.content()));
         } catch (MalformedEndpointListException e) {
-            fail(inFlight, CallFailure.MALFORMED_LIST, "error=" + e.getMessage());
+            fail(callInFlight, CallFailure.MALFORMED_LIST, "error=" + e.getMessage());
             return;
         }
         finishCall();
@@ -151,12 +159,15 @@
         listener.onResponse(list);
     }
 
-    /** Handles what belongs to the call in flight. A response without a call closes its connection. */
+    /**
+     * Handles the events of the current connection while a call is in flight. A response on another connection, or
+     * without a call in flight, closes its connection.
+     */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (inFlight != null && context.channel() == channel) {
-                receive(response);
+            if (callInFlight != null && context.channel() == channel) {
+                handleResponse(response);
             } else {
                 context.close();
             }
@@ -164,8 +175,8 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (inFlight != null && context.channel() == channel) {
-                fail(inFlight, CallFailure.CONNECTION_CLOSED, "");
+            if (callInFlight != null && context.channel() == channel) {
+                fail(callInFlight, CallFailure.CONNECTION_CLOSED, "");
             }
         }
 
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryMode.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryMode.java
@@ -1,12 +1,12 @@
 package loadbalancer.proxy.discovery;
 
-/** Who starts the calls to discovery. */
+/** Whether the sidecar or the load balancer starts calls to discovery. */
 public enum DiscoveryMode {
-    /** The sidecar watches the list from the start; the load balancer never polls. */
+    /** The sidecar watches the endpoint list from its start; the load balancer never polls. */
     PUSHED,
     /**
-     * The first call is made when the load balancer polls. The result of each poll is reported to it, even without
-     * changes.
+     * The first call is made when the load balancer polls. The load balancer is notified of the result of each poll,
+     * even if the list has not changed.
      */
     POLLED
 }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -13,26 +13,30 @@
 import loadbalancer.proxy.protocol.EndpointList;
 
 /**
- * Watches discovery: one call after the other, without a gap. By the protocol, a change counts as known to the sidecar
- * even if no call was open when it happened. So a call that fails is repeated at once, and the first call does not wait
- * for a change. Each list goes to the listener first and then to the load balancer. A failed call leaves the known list
- * in force; with {@link DiscoveryMode#POLLED} the load balancer is notified of the failure and decides when to poll
+ * Watches discovery by consecutive calls. The protocol expects the sidecar to know a change even if no call was open
+ * when the change happened. Therefore the first failed call is repeated at once, and the first call does not wait for a
+ * change. Each list is passed to the listener and then to the load balancer. After a failed call, the known list stays
+ * in use; with {@link DiscoveryMode#POLLED}, the load balancer is notified of the failure and decides when to poll
  * again.
  *
  * <p>All methods run on the event loop that owns the watch.
  */
 public final class DiscoveryWatch {
-    /** The configuration of a watch at the start. {@code generation} is that of the list known at that time. */
+    /**
+     * The initial configuration of a watch.
+     *
+     * @param generation the generation of the endpoint list that is known when the watch is created
+     */
     public record Options(InetSocketAddress address, long generation, DiscoveryMode mode, WatchTimeouts timeouts) {}
 
     /**
-     * The shortest time from the start of a successful call to the next call, so that a service that always answers at
-     * once is not called continuously. The protocol allows a pause of up to 200 ms.
+     * The minimum time from the start of a successful call to the start of the next call. It prevents continuous calls
+     * to a service that answers each call at once. The protocol allows a pause of up to 200 ms.
      */
     private static final long MIN_CALL_INTERVAL_MILLIS = 50;
 
     private static final long INITIAL_BACKOFF_MICROS = 25_000;
-    /** Short compared with the time for which draining endpoints go on serving. */
+    /** Short compared with the time for which draining endpoints continue to serve requests. */
     private static final long MAX_BACKOFF_MICROS = 100_000;
 
     private final EventLoop loop;
@@ -46,7 +50,7 @@
     private final DiscoveryClient client;
     private InetSocketAddress address;
     /**
-     * Whether the load balancer has polled, so that it must be notified of the next response even if nothing changed.
+     * Whether the load balancer has polled and must be notified of the next response, even if the list has not changed.
      */
     private boolean pollPending;
 
@@ -54,11 +58,11 @@
     private long callStartedMicros;
 
     /**
-     * Creates a watch that is idle until {@link #start} or {@link #poll}.
+     * Creates a watch that makes no call before {@link #start} or {@link #poll} is called.
      *
-     * @param loop owns this object; all of its methods are called there
-     * @param listener gets each list before the load balancer does
-     * @param backoff determines the pauses after failed calls
+     * @param loop the event loop on which all methods of this object are called
+     * @param listener receives each list before the load balancer does
+     * @param backoff determines the pauses after failed calls, see {@link #defaultBackoff}
      */
     public DiscoveryWatch(
             EventLoop loop,
@@ -79,22 +83,22 @@
         client = new DiscoveryClient(loop, new CallListener());
     }
 
-    /** Creates the backoff of one watch, with random jitter. */
+    /** Creates a backoff with random jitter, for use by one watch. */
     public static ExponentialBackoff defaultBackoff() {
         return new ExponentialBackoff(INITIAL_BACKOFF_MICROS, MAX_BACKOFF_MICROS, bound -> ThreadLocalRandom.current()
                 .nextLong(bound));
     }
 
-    /** Starts the watch with {@link DiscoveryMode#PUSHED}; otherwise the first {@link #poll} starts it. */
+    /** Starts the watch if its mode is {@link DiscoveryMode#PUSHED}. Otherwise the first {@link #poll} starts it. */
     public void start() {
         if (mode == DiscoveryMode.PUSHED) {
             poll();
         }
     }
 
-    /** Whether the first call has been answered or has failed, so that the list is as recent as possible. */
+    /** Returns whether a call has been answered or has failed, so that the list is as recent as possible. */
     public boolean hasSynced() {
-        return cursor.callCompleted();
+        return cursor.hasCompletedCall();
     }
 
     /** Starts a call. If one is already in flight, its response also answers this poll. */
@@ -104,8 +108,9 @@
     }
 
     /**
-     * Watches the service at {@code newAddress} from now on, beginning with a full snapshot. A call in flight to the
-     * previous address is cancelled; this does not count as a failure, so no backoff follows.
+     * Watches the service at {@code newAddress} from now on, and fetches a full snapshot from it first. A call in
+     * flight to the previous address is cancelled. The cancelled call does not count as a failure, so no backoff
+     * follows.
      */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -114,32 +119,32 @@
         }
         SidecarLog.info("discovery_address_changed address=" + newAddress);
         address = newAddress;
-        cursor.serviceReplaced();
+        cursor.requireFullSnapshot();
         client.cancel();
         startCallIfIdle();
     }
 
-    /** Ends the watch for good. */
+    /** Stops the watch permanently. */
     public void stop() {
         stopped = true;
         client.cancel();
     }
 
     private void startCallIfIdle() {
-        if (stopped || client.callInFlight()) {
+        if (stopped || client.hasCallInFlight()) {
             return;
         }
         callStartedMicros = clock.nowMicros();
-        client.fetch(address, cursor.nextRequestTarget(timeouts.waitMillis()), nextTimeoutMillis());
+        client.fetch(address, cursor.nextRequestTarget(timeouts.longPollWaitMillis()), nextTimeoutMillis());
     }
 
     private long nextTimeoutMillis() {
         return cursor.nextCallIsLongPoll()
                 ? timeouts.longPollTimeoutMillis()
-                : timeouts.immediateTimeoutMillis(backoff.failures());
+                : timeouts.immediateTimeoutMillis(backoff.consecutiveFailures());
     }
 
-    private void accept(EndpointList list) {
+    private void applyList(EndpointList list) {
         recordSuccess();
         cursor.advanceTo(list);
         listener.onEndpointList(list);
@@ -148,13 +153,13 @@
     }
 
     private void recordSuccess() {
-        if (backoff.failures() > 0) {
-            SidecarLog.info("discovery_recovered failed_calls=" + backoff.failures());
+        if (backoff.consecutiveFailures() > 0) {
+            SidecarLog.info("discovery_recovered failed_calls=" + backoff.consecutiveFailures());
             backoff.reset();
         }
     }
 
-    /** Notifies the load balancer of a list, except of a delta without changes that it has not polled for. */
+    /** Notifies the load balancer of a list, unless the list is a delta without changes and no poll is pending. */
     private void notifyLoadBalancer(EndpointList list) {
         if (!pollPending && !list.fullSnapshot() && list.entries().isEmpty()) {
             return;
@@ -179,25 +184,25 @@
     }
 
     private void handleFailure(CallFailure failure, String detail) {
-        cursor.callFailed(failure);
+        cursor.recordFailedCall(failure);
         long pauseMicros = backoff.recordFailure();
-        if (backoff.failures() == 1) {
+        if (backoff.consecutiveFailures() == 1) {
             SidecarLog.info(
                     "discovery_call_failed reason=" + failure.logName() + (detail.isEmpty() ? "" : " " + detail));
         }
         if (mode == DiscoveryMode.PUSHED) {
-            pollLater(pauseMicros);
+            schedulePoll(pauseMicros);
             return;
         }
         pollPending = false;
-        // The load balancer decides when to poll again. If it throws instead, the watch has to go on by itself.
+        // The load balancer decides when to poll again. If it throws an exception instead, the watch schedules a poll.
         loadBalancerExecutor.submit(
                 "endpoint_list_failed",
                 loadBalancer -> loadBalancer.onEndpointList(clock.nowMicros(), EndpointListType.FAILED, List.of()),
-                () -> pollLater(pauseMicros));
+                () -> schedulePoll(pauseMicros));
     }
 
-    private void pollLater(long pauseMicros) {
+    private void schedulePoll(long pauseMicros) {
         loop.schedule(this::poll, pauseMicros, TimeUnit.MICROSECONDS);
     }
 
@@ -205,13 +210,13 @@
         @Override
         public void onResponse(EndpointList list) {
             if (cursor.accepts(list)) {
-                accept(list);
+                applyList(list);
                 return;
             }
             client.closeConnection();
             String error = list.fullSnapshot()
-                    ? "the full snapshot is empty"
-                    : "a delta to generation " + list.generation() + " does not follow the known list";
+                    ? "expected a full snapshot with at least one endpoint, found an empty one"
+                    : "the delta to generation " + list.generation() + " can't be applied to the known list";
             handleFailure(CallFailure.MALFORMED_LIST, "error=" + error);
         }
 
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
@@ -3,21 +3,21 @@
 import loadbalancer.proxy.protocol.EndpointList;
 
 /**
- * The position in discovery's sequence of lists: which generation is known and what the next call has to fetch. Does no
- * input or output. Confined to the event loop of its {@link DiscoveryWatch}.
+ * Tracks the generation of the known endpoint list and determines what the next call to discovery has to fetch.
+ * Performs no I/O. Confined to the event loop of its {@link DiscoveryWatch}.
  */
 final class EndpointListCursor {
     private static final String PATH = "/registry/instances";
 
     private long generation;
     /**
-     * Whether deltas to the known generation are no longer usable, because a list was malformed or the service was
-     * replaced.
+     * Whether the next list must be a full snapshot, because a list was malformed or because the service was replaced.
+     * Deltas can't be applied to the known list then.
      */
     private boolean fullSnapshotRequired;
     /**
-     * Whether any call has been answered or has failed. Until then the list may be the configuration's, which may be
-     * outdated.
+     * Whether any call has been answered or has failed. Before that, the known list comes from the configuration and
+     * may be outdated.
      */
     private boolean callCompleted;
 
@@ -25,19 +25,19 @@
         this.generation = generation;
     }
 
-    boolean callCompleted() {
+    boolean hasCompletedCall() {
         return callCompleted;
     }
 
     /**
-     * Whether discovery may delay the response to the next call until there is a change. The first call and those for a
-     * full snapshot are answered at once.
+     * Returns whether the next call is a long poll, whose response discovery may delay until there is a change. The
+     * first call and calls for a full snapshot are answered at once.
      */
     boolean nextCallIsLongPoll() {
         return callCompleted && !fullSnapshotRequired;
     }
 
-    /** The request target of the next call. */
+    /** Returns the request target of the next call. */
     String nextRequestTarget(long longPollWaitMillis) {
         if (fullSnapshotRequired) {
             return PATH;
@@ -46,8 +46,9 @@
     }
 
     /**
-     * Whether {@code list} may be applied. An empty full snapshot is refused, as it would leave no endpoint to serve
-     * requests, and so is a delta that does not continue the known list.
+     * Returns whether {@code list} may be applied. An empty full snapshot is rejected because it would leave no
+     * endpoint to serve requests. A delta is rejected if its generation is lower than the known one or if a full
+     * snapshot is required.
      */
     boolean accepts(EndpointList list) {
         if (list.fullSnapshot()) {
@@ -62,15 +63,15 @@
         callCompleted = true;
     }
 
-    void callFailed(CallFailure failure) {
+    void recordFailedCall(CallFailure failure) {
         callCompleted = true;
         if (failure == CallFailure.MALFORMED_LIST) {
             fullSnapshotRequired = true;
         }
     }
 
-    /** The generations of another service may be unrelated to those known. */
-    void serviceReplaced() {
+    /** Makes the next call fetch a full snapshot. Another service may count generations differently. */
+    void requireFullSnapshot() {
         fullSnapshotRequired = true;
     }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
+++ b/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
@@ -3,44 +3,45 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * The pause after a failed call. There is none after the first failure, because the sidecar is expected to know changes
- * even while no call is open. From the second on it doubles up to a maximum, with jitter, because all sidecars see a
- * service fail at the same time. Not thread-safe.
+ * Determines the pause after a failed call. There is no pause after the first failure, because the sidecar is expected
+ * to know changes even while no call is open. The pause starts with the second consecutive failure and doubles with
+ * each further one, up to a maximum. It has jitter, because all sidecars notice the failure of a service at the same
+ * time. Not thread-safe.
  */
 public final class ExponentialBackoff {
-    /** Prevents an overflow; the maximum pause is reached long before. */
+    /** Prevents an overflow. The maximum pause is reached after far fewer doublings. */
     private static final int MAX_DOUBLINGS = 20;
 
-    private final long initialMicros;
-    private final long maxMicros;
-    /** Returns a random number from 0 (inclusive) to its argument (exclusive). */
-    private final LongUnaryOperator random;
+    private final long initialPauseMicros;
+    private final long maxPauseMicros;
+    /** Returns a boundedRandom number from 0 (inclusive) to its argument (exclusive). */
+    private final LongUnaryOperator boundedRandom;
 
-    private int failures;
+    private int consecutiveFailures;
 
-    ExponentialBackoff(long initialMicros, long maxMicros, LongUnaryOperator random) {
-        this.initialMicros = initialMicros;
-        this.maxMicros = maxMicros;
-        this.random = random;
+    ExponentialBackoff(long initialPauseMicros, long maxPauseMicros, LongUnaryOperator boundedRandom) {
+        this.initialPauseMicros = initialPauseMicros;
+        this.maxPauseMicros = maxPauseMicros;
+        this.boundedRandom = boundedRandom;
     }
 
-    /** Counts a failed call and returns the pause before the next, in microseconds. */
+    /** Counts a failed call and returns the pause before the next call, in microseconds. */
     long recordFailure() {
-        failures++;
-        if (failures == 1) {
+        consecutiveFailures++;
+        if (consecutiveFailures == 1) {
             return 0;
         }
-        int doublings = Math.min(failures - 2, MAX_DOUBLINGS);
-        long longestMicros = Math.min(maxMicros, initialMicros << doublings);
-        return longestMicros / 2 + random.applyAsLong(longestMicros / 2 + 1);
+        int doublings = Math.min(consecutiveFailures - 2, MAX_DOUBLINGS);
+        long longestPauseMicros = Math.min(maxPauseMicros, initialPauseMicros << doublings);
+        return longestPauseMicros / 2 + boundedRandom.applyAsLong(longestPauseMicros / 2 + 1);
     }
 
-    /** How many calls have failed since the last success. */
-    int failures() {
-        return failures;
+    /** Returns the number of calls that have failed since the last successful call. */
+    int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
     void reset() {
-        failures = 0;
+        consecutiveFailures = 0;
     }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
@@ -1,26 +1,29 @@
 package loadbalancer.proxy.discovery;
 
 /**
- * How long a call to discovery may take. If a long poll gets no response, the sidecar is expected to know the changes
- * that it missed 6 s after the silence began, or 2 s after the wait that the call asked for. A short wait and a short
- * margin leave most of that time for further calls. Any other call is answered at once by the discovery agent, which
- * runs on this machine; its timeout doubles with each failure, because a long list may be slow to reach a busy sidecar.
+ * Timeouts of calls to discovery. If a long poll gets no response, the sidecar is expected to know the changes that it
+ * missed 6 s after discovery last responded, or 2 s after the end of the wait that the call asked for. A short wait and
+ * a short margin leave most of that time for further calls.
  *
- * @param waitMillis how long discovery may hold a long poll
- * @param silenceMillis how much later than that the response to a long poll may come
- * @param immediateMillis the timeout of any other call, before it is doubled
+ * <p>Any other call is an immediate call: the discovery agent, which runs on this machine, answers it at once. The
+ * timeout of immediate calls doubles with each consecutive failure, because a long list may reach a busy sidecar
+ * slowly.
+ *
+ * @param longPollWaitMillis how long discovery may delay the response to a long poll
+ * @param longPollMarginMillis how long after that delay the response to a long poll may arrive
+ * @param initialImmediateTimeoutMillis the timeout of an immediate call without a preceding failure
  */
-public record WatchTimeouts(long waitMillis, long silenceMillis, long immediateMillis) {
+public record WatchTimeouts(long longPollWaitMillis, long longPollMarginMillis, long initialImmediateTimeoutMillis) {
     /** The timeouts in production. */
     public static final WatchTimeouts DEFAULT = new WatchTimeouts(2_000, 500, 250);
 
     private static final int MAX_DOUBLINGS = 2;
 
     long longPollTimeoutMillis() {
-        return waitMillis + silenceMillis;
+        return longPollWaitMillis + longPollMarginMillis;
     }
 
-    long immediateTimeoutMillis(int failures) {
-        return immediateMillis << Math.min(failures, MAX_DOUBLINGS);
+    long immediateTimeoutMillis(int consecutiveFailures) {
+        return initialImmediateTimeoutMillis << Math.min(consecutiveFailures, MAX_DOUBLINGS);
     }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/package-info.java
+++ b/src/main/java/loadbalancer/proxy/discovery/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Keeps a sidecar's endpoint list up to date: long polls to the discovery agent, their timeouts, backoff after failed
- * calls and the generation of the last list. Passes each list to its listener and then to the load balancer. It decides
- * nothing about a request, opens no connection to an endpoint, and removes an endpoint only if a list says so.
+ * Keeps the endpoint list of a sidecar up to date. Makes long polls to the discovery agent, with timeouts and a backoff
+ * after failed calls, and tracks the generation of the last list. Passes each list to its listener and then to the load
+ * balancer. The package makes no decision about a request, opens no connection to an endpoint, and removes an endpoint
+ * only if a list says so.
  */
 package loadbalancer.proxy.discovery;
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -10,45 +10,46 @@
 import loadbalancer.decision.EndpointState;
 
 /**
- * An endpoint list, as discovery sends it and the configuration file contains it.
+ * An endpoint list. Discovery sends it as JSON, and the configuration file contains one in the same form.
  *
- * @param generation the version of the list, which grows with each change
- * @param fullSnapshot true if every endpoint is listed; false for a delta, which lists only those that changed
+ * @param generation the version of the list, which increases with each change
+ * @param fullSnapshot true if the list contains every endpoint; false for a delta, which contains only the endpoints
+ *     that changed
  */
 public record EndpointList(long generation, boolean fullSnapshot, List<Entry> entries) {
     private static final double DEFAULT_WEIGHT = 1;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** An endpoint and the address that it listens on. */
+    /** An endpoint and the address on which it listens. */
     public record Entry(Endpoint endpoint, InetSocketAddress address) {}
 
     /**
-     * Reads a list from JSON text in UTF-8.
+     * Reads an endpoint list from JSON text in UTF-8.
      *
-     * @throws MalformedEndpointListException where it is none
+     * @throws MalformedEndpointListException if the text is not an endpoint list
      */
     public static EndpointList parse(byte[] text) {
         try {
-            return read(JsonObject.parse(text));
+            return readList(JsonObject.parse(text));
         } catch (IllegalArgumentException e) {
             throw new MalformedEndpointListException(e);
         }
     }
 
     /**
-     * Reads a list from a JSON object.
+     * Reads an endpoint list from a JSON object.
      *
-     * @throws MalformedEndpointListException where it is none
+     * @throws MalformedEndpointListException if the object is not an endpoint list
      */
     public static EndpointList parse(JsonObject json) {
         try {
-            return read(json);
+            return readList(json);
         } catch (IllegalArgumentException e) {
             throw new MalformedEndpointListException(e);
         }
     }
 
-    private static EndpointList read(JsonObject json) {
+    private static EndpointList readList(JsonObject json) {
         List<Entry> entries = new ArrayList<>();
         for (JsonObject instance : json.objects("instances")) {
             entries.add(new Entry(readEndpoint(instance), parseAddress(instance.text("hostPort"))));
@@ -57,14 +58,15 @@
     }
 
     private static Endpoint readEndpoint(JsonObject instance) {
-        // Start times are Unix times both on the wire and in the load balancer; only the unit differs.
+        // Start times are Unix times on the wire and in the load balancer. The wire has milliseconds, the load balancer
+        // microseconds.
         return new Endpoint(
                 instance.text("instanceId"),
                 instance.textOr("zone", ""),
                 instance.textOr("machineType", ""),
                 (int) instance.numberOr("cell", Endpoint.NO_CELL),
                 instance.numberOr("startedAtMs", 0) * MICROS_PER_MILLI,
-                instance.realOr("weight", DEFAULT_WEIGHT),
+                instance.doubleOr("weight", DEFAULT_WEIGHT),
                 parseState(instance.text("lifecycle")));
     }
 
@@ -73,29 +75,31 @@
             case "Ready" -> EndpointState.READY;
             case "Terminating" -> EndpointState.DRAINING;
             case "Gone" -> EndpointState.REMOVED;
-            default -> throw new IllegalArgumentException("lifecycle '" + lifecycle + "' is unknown");
+            default -> throw new IllegalArgumentException(
+                    "field 'lifecycle' is '" + lifecycle + "'; expected Ready, Terminating or Gone");
         };
     }
 
     /**
      * Reads a numeric address, {@code host:port}. Host names are not resolved, because a lookup would block.
      *
-     * @throws IllegalArgumentException if the text is not such an address
+     * @throws IllegalArgumentException if the text is not a numeric address with a port
      */
     public static InetSocketAddress parseAddress(String text) {
-        int colon = text.lastIndexOf(':');
-        byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        int colonIndex = text.lastIndexOf(':');
+        byte[] host = colonIndex < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colonIndex));
         if (host == null) {
-            throw new IllegalArgumentException("no address: '" + text + "'");
+            throw new IllegalArgumentException("expected a numeric address host:port, found '" + text + "'");
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(host), Integer.parseInt(text.substring(colon + 1)));
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(host), Integer.parseInt(text.substring(colonIndex + 1)));
         } catch (UnknownHostException | NumberFormatException e) {
-            throw new IllegalArgumentException("no address: '" + text + "'", e);
+            throw new IllegalArgumentException("expected a numeric address host:port, found '" + text + "'", e);
         }
     }
 
-    /** The endpoints without their addresses, in the order of the list. */
+    /** Returns the endpoints without their addresses, in the order of the list. */
     public List<Endpoint> endpoints() {
         return entries.stream().map(Entry::endpoint).toList();
     }
--- a/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
+++ b/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.protocol;
 
 /**
- * Checks and reads header values and request targets. Works character by character because it runs for every request,
- * also in the first seconds of the process, when an equivalent regular expression would be many times slower.
+ * Validates and parses header values and request targets. The methods examine one character at a time because they run
+ * for every request. In the first seconds of the process, equivalent regular expressions would be many times slower.
  * Stateless.
  */
 public final class HeaderValues {
@@ -13,12 +13,12 @@
 
     private HeaderValues() {}
 
-    /** Whether {@code text} consists of one to 128 visible ASCII characters. */
+    /** Returns whether {@code text} consists of 1 to 128 visible ASCII characters. */
     public static boolean isToken(String text) {
         return !text.isEmpty() && text.length() <= MAX_TOKEN_LENGTH && isVisibleAscii(text);
     }
 
-    /** Whether {@code text} begins with a slash and consists of at most 4,096 visible ASCII characters. */
+    /** Returns whether {@code text} begins with a slash and consists of at most 4,096 visible ASCII characters. */
     public static boolean isRequestTarget(String text) {
         return text.startsWith("/") && text.length() <= MAX_TARGET_LENGTH && isVisibleAscii(text);
     }
@@ -33,7 +33,7 @@
         return true;
     }
 
-    /** Reads a whole number of one to nine digits. Returns -1 if {@code text} is anything else. */
+    /** Returns the whole number that {@code text} contains, or -1 if {@code text} is not 1 to 9 decimal digits. */
     public static long parseWholeNumber(String text) {
         if (text.isEmpty() || text.length() > MAX_DECIMAL_DIGITS) {
             return -1;
@@ -49,7 +49,10 @@
         return value;
     }
 
-    /** Returns the number that one to sixteen hexadecimal digits stand for, or the hash code of any other text. */
+    /**
+     * Returns the value of {@code text} as an unsigned hexadecimal number, or the hash code of {@code text} if it is
+     * not 1 to 16 hexadecimal digits.
+     */
     public static long parseHexOrHash(String text) {
         if (text.isEmpty() || text.length() > MAX_HEX_DIGITS) {
             return text.hashCode();
@@ -63,13 +66,13 @@
         return Long.parseUnsignedLong(text, 16);
     }
 
-    /** Returns the path of a request target: everything before the question mark. */
+    /** Returns the path of a request target, which is the text before the first question mark. */
     public static String path(String target) {
-        int question = target.indexOf('?');
-        return question < 0 ? target : target.substring(0, question);
+        int questionMarkIndex = target.indexOf('?');
+        return questionMarkIndex < 0 ? target : target.substring(0, questionMarkIndex);
     }
 
-    /** Formats a time as seconds with three decimals, which is the form of {@code Retry-After} in this protocol. */
+    /** Formats a duration as seconds with three decimals, the form of {@code Retry-After} in this protocol. */
     public static String formatSeconds(long micros) {
         long millis = (micros + 500) / 1000;
         String decimals = Long.toString(1000 + millis % 1000).substring(1);
--- a/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * A JSON object that is read field by field. Unknown fields are ignored, and {@code null} counts as absent. Each method
- * that reads a field throws a {@link MalformedJsonException} that names the field if its value is of another kind, or
- * if it is absent and there is no default. Immutable.
+ * A JSON object whose fields are read by name. Fields that are not read are ignored, and a field with the value
+ * {@code null} counts as absent. Each method that reads a field throws a {@link MalformedJsonException} that names the
+ * field if its value has another type, or if the field is absent and has no default. Immutable.
  */
 public final class JsonObject {
     private final Map<String, Object> fields;
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Reads one object from text in UTF-8.
+     * Parses a JSON object from text in UTF-8.
      *
      * @throws MalformedJsonException if the text is not a JSON object
      */
@@ -26,61 +26,61 @@
         return new JsonObject(JsonReader.readObject(text));
     }
 
-    /** Whether there is a field of this name whose value is not {@code null}. */
+    /** Returns whether the object has a field of this name whose value is not {@code null}. */
     public boolean has(String name) {
         return fields.get(name) != null;
     }
 
-    /** A required string. */
+    /** Returns the string in a required field. */
     public String text(String name) {
-        return field(name, String.class, "a text");
+        return requiredField(name, String.class, "a string");
     }
 
-    /** A string, or the default if it is absent. */
+    /** Returns the string in a field, or {@code defaultValue} if the field is absent. */
     public String textOr(String name, String defaultValue) {
         return has(name) ? text(name) : defaultValue;
     }
 
-    /** A required number, without its fraction. */
+    /** Returns the number in a required field, without its fraction. */
     long number(String name) {
-        return field(name, Number.class, "a number").longValue();
+        return requiredField(name, Number.class, "a number").longValue();
     }
 
-    /** A number without its fraction, or the default if it is absent. */
+    /** Returns the number in a field without its fraction, or {@code defaultValue} if the field is absent. */
     public long numberOr(String name, long defaultValue) {
         return has(name) ? number(name) : defaultValue;
     }
 
-    /** A number with its fraction, or the default if it is absent. */
-    double realOr(String name, double defaultValue) {
-        return has(name) ? field(name, Number.class, "a number").doubleValue() : defaultValue;
+    /** Returns the number in a field with its fraction, or {@code defaultValue} if the field is absent. */
+    double doubleOr(String name, double defaultValue) {
+        return has(name) ? requiredField(name, Number.class, "a number").doubleValue() : defaultValue;
     }
 
-    /** A required boolean. */
+    /** Returns the boolean in a required field. */
     boolean flag(String name) {
-        return field(name, Boolean.class, "true or false");
+        return requiredField(name, Boolean.class, "true or false");
     }
 
-    /** A required object. */
+    /** Returns the object in a required field. */
     @SuppressWarnings("unchecked")
     public JsonObject object(String name) {
-        return new JsonObject(field(name, Map.class, "an object"));
+        return new JsonObject(requiredField(name, Map.class, "an object"));
     }
 
-    /** A required list of objects. */
+    /** Returns the elements of a required field that is an array of objects. */
     @SuppressWarnings("unchecked")
     List<JsonObject> objects(String name) {
         List<JsonObject> objects = new ArrayList<>();
         for (Object element : list(name)) {
             if (!(element instanceof Map)) {
-                throw new MalformedJsonException("'" + name + "' holds what is no object");
+                throw new MalformedJsonException("field '" + name + "' has an element that is not an object");
             }
             objects.add(new JsonObject((Map<String, Object>) element));
         }
         return objects;
     }
 
-    /** The elements of a list as strings; empty if the list is absent. */
+    /** Returns the elements of an array as strings, or an empty list if the field is absent. */
     public List<String> textsOrNone(String name) {
         List<String> texts = new ArrayList<>();
         if (has(name)) {
@@ -92,24 +92,24 @@
     }
 
     private List<?> list(String name) {
-        return field(name, List.class, "a list");
+        return requiredField(name, List.class, "an array");
     }
 
-    private <T> T field(String name, Class<T> type, String kind) {
+    private <T> T requiredField(String name, Class<T> type, String typeName) {
         Object value = fields.get(name);
         if (value == null) {
-            throw new MalformedJsonException("'" + name + "' is missing");
+            throw new MalformedJsonException("field '" + name + "' is missing");
         }
         if (!type.isInstance(value)) {
-            throw new MalformedJsonException("'" + name + "' is not " + kind);
+            throw new MalformedJsonException("field '" + name + "' is not " + typeName);
         }
         return type.cast(value);
     }
 
     /**
-     * Returns all values by their paths. The path of a field in an object is {@code a.b}. A list of objects has paths
-     * such as {@code a.0.b}, and {@code a.count} for its length. A list of plain values becomes one string, joined by
-     * commas.
+     * Returns the values of all fields, including those of nested objects, by path. The field {@code b} of the object
+     * {@code a} has the path {@code a.b}. An array {@code a} of objects has paths such as {@code a.0.b}, and its length
+     * has the path {@code a.count}. An array without objects becomes one string, in which commas separate the elements.
      */
     public Map<String, String> flattened() {
         Map<String, String> values = new TreeMap<>();
@@ -130,7 +130,7 @@
     }
 
     private static void flattenList(String path, List<?> list, Map<String, String> values) {
-        if (!holdsObject(list)) {
+        if (!containsObject(list)) {
             values.put(path, joinWithCommas(list));
             return;
         }
@@ -140,7 +140,7 @@
         }
     }
 
-    private static boolean holdsObject(List<?> list) {
+    private static boolean containsObject(List<?> list) {
         for (Object element : list) {
             if (element instanceof Map) {
                 return true;
--- a/src/main/java/loadbalancer/proxy/protocol/JsonReader.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonReader.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /**
- * Reads JSON text into maps, lists, strings, numbers, booleans and nulls. The parser limits the nesting depth.
+ * Converts JSON text to maps, lists, strings, numbers, booleans and nulls. The Jackson parser limits the nesting depth.
  * Stateless.
  */
 final class JsonReader {
@@ -19,18 +19,18 @@
     private JsonReader() {}
 
     /**
-     * Reads the fields of one object.
+     * Returns the fields of the JSON object that {@code text} contains, in UTF-8.
      *
-     * @throws MalformedJsonException if the text is anything else
+     * @throws MalformedJsonException if the text does not begin with a complete JSON object
      */
     static Map<String, Object> readObject(byte[] text) {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new MalformedJsonException("no JSON object");
+                throw new MalformedJsonException("expected a JSON object, found another JSON value or no text");
             }
             return readFields(parser);
         } catch (IOException e) {
-            throw new MalformedJsonException("no JSON object: " + firstLine(e), e);
+            throw new MalformedJsonException("malformed JSON: " + firstLine(e), e);
         }
     }
 
@@ -56,7 +56,7 @@
         return elements;
     }
 
-    /** Reads the value that begins with the parser's current token. */
+    /** Reads the value that starts at the current token of the parser. */
     private static Object readValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_OBJECT -> readFields(parser);
--- a/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
+++ b/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
@@ -3,32 +3,32 @@
 import loadbalancer.decision.LoadReport;
 import loadbalancer.input.LoadReportFields;
 
-/** Reads a load report of the form {@code TEXT inflight=7, queue=2, util=0.61}. Stateless. */
+/** Parses load reports of the form {@code TEXT inflight=7, queue=2, util=0.61}. Stateless. */
 public final class LoadReportParser {
     private static final String PREFIX = "TEXT ";
-    /** Far above any real value. A greater one, if accepted, would keep its endpoint out of use permanently. */
+    /** Far above any real value. If a greater value were accepted, its endpoint would be out of use permanently. */
     private static final double MAX_VALUE = 10_000;
 
     private LoadReportParser() {}
 
-    /** Returns the report, or null if {@code text} is null or malformed. */
+    /** Returns the load report, or null if {@code text} is null or malformed. */
     public static LoadReport parse(String text) {
         if (text == null || !text.startsWith(PREFIX)) {
             return null;
         }
         LoadReportFields fields = new LoadReportFields();
         for (String pair : text.substring(PREFIX.length()).split(",")) {
-            int equals = pair.indexOf('=');
-            double value = equals < 0 ? Double.NaN : parseValue(pair.substring(equals + 1));
+            int equalsIndex = pair.indexOf('=');
+            double value = equalsIndex < 0 ? Double.NaN : parseValue(pair.substring(equalsIndex + 1));
             if (Double.isNaN(value)) {
                 return null;
             }
-            fields.put(pair.substring(0, equals).trim(), value);
+            fields.put(pair.substring(0, equalsIndex).trim(), value);
         }
         return fields.report();
     }
 
-    /** Returns the value, or NaN if it is not a number or out of range. */
+    /** Returns the value, or NaN if {@code text} is not a number from 0 to {@link #MAX_VALUE}. */
     private static double parseValue(String text) {
         try {
             double value = Double.parseDouble(text.trim());
--- a/src/main/java/loadbalancer/proxy/protocol/MalformedEndpointListException.java
+++ b/src/main/java/loadbalancer/proxy/protocol/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy.protocol;
 
-/** Thrown if a text is not an endpoint list. The message says what is wrong with it. */
+/** Thrown if text or a JSON object is not an endpoint list. The message describes the first error. */
 public final class MalformedEndpointListException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/proxy/protocol/MalformedJsonException.java
+++ b/src/main/java/loadbalancer/proxy/protocol/MalformedJsonException.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.protocol;
 
 /**
- * Thrown if a text is not a JSON object, or if a field of an object is missing or of another kind. The message names
- * the field.
+ * Thrown if text is not a JSON object, or if a field of an object is missing or has another type. The message names the
+ * field, if there is one.
  */
 public final class MalformedJsonException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
@@ -20,12 +20,14 @@
     private static final long HOUR_MILLIS = 3_600_000;
     private static final long HOUR_MICROS = HOUR_MILLIS * 1_000;
     /** No call times out during a test. */
-    private static final WatchTimeouts HOUR_LONG = new WatchTimeouts(HOUR_MILLIS, 0, HOUR_MILLIS);
+    private static final WatchTimeouts HOUR_LONG_TIMEOUTS = new WatchTimeouts(HOUR_MILLIS, 0, HOUR_MILLIS);
 
     private static final StubServer.Script SILENT = (request, connection) -> {};
 
-    /** Handles the first request by the first step, and so on; requests beyond the last step get no response. */
-    private static StubServer.Script inTurn(StubServer.Script... steps) {
+    /**
+     * Returns a script that handles the n-th request by the n-th step. Requests after the last step get no response.
+     */
+    private static StubServer.Script scriptOfSteps(StubServer.Script... steps) {
         AtomicInteger requests = new AtomicInteger();
         return (request, connection) -> {
             int number = requests.getAndIncrement();
@@ -51,38 +53,39 @@
         return respond(SidecarFixture.list(generation, true, entries));
     }
 
-    /** Not started; its load balancer polls. */
-    private static SidecarFixture polled(StubServer.Script discovery) throws Exception {
+    /** Creates a fixture that is not started. Its load balancer polls. */
+    private static SidecarFixture newPolledFixture(StubServer.Script discovery) throws Exception {
         SidecarFixture fixture = new SidecarFixture(discovery);
         fixture.upstream(SILENT);
         return fixture;
     }
 
-    /** Not started; its load balancer never polls. */
-    private static SidecarFixture pushed(StubServer.Script discovery) throws Exception {
-        SidecarFixture fixture = polled(discovery);
+    /** Creates a fixture that is not started. Its load balancer never polls. */
+    private static SidecarFixture newPushedFixture(StubServer.Script discovery) throws Exception {
+        SidecarFixture fixture = newPolledFixture(discovery);
         fixture.settings = fixture.settings.replace("on_request", "pushed");
         fixture.pollsEndpoints = false;
         return fixture;
     }
 
-    /** Started; pauses for an hour after a second failure. */
-    private static SidecarFixture startPushed(WatchTimeouts timeouts, StubServer.Script discovery) throws Exception {
-        SidecarFixture fixture = pushed(discovery);
+    /** Starts a fixture whose load balancer never polls and whose watch pauses for an hour after a second failure. */
+    private static SidecarFixture startPushedFixture(WatchTimeouts timeouts, StubServer.Script discovery)
+            throws Exception {
+        SidecarFixture fixture = newPushedFixture(discovery);
         fixture.watchTimeouts = timeouts;
         fixture.backoff = new ExponentialBackoff(HOUR_MICROS, HOUR_MICROS, bound -> 0);
         return fixture.start();
     }
 
     @Test
-    void theWatchContinuesFromEachGeneration() throws Exception {
-        try (SidecarFixture fixture = polled(inTurn(
+    void continuesFromLatestGeneration() throws Exception {
+        try (SidecarFixture fixture = newPolledFixture(scriptOfSteps(
                 delta(41),
                 delta(42, DRAINING),
                 respond("200 OK", "Connection: close\r\n", SidecarFixture.list(44, true, READY))))) {
             fixture.start();
             assertEquals("list CACHED u0=READY", fixture.await("list"));
-            // The first response notifies the module that polled, even without a change.
+            // The decision module has polled, so it is notified of the first response even without a change.
             assertEquals("list DELTA ", fixture.await("list"));
             assertEquals("list DELTA u0=DRAINING", fixture.await("list"));
             assertEquals("list FULL u0=READY", fixture.await("list"));
@@ -93,9 +96,9 @@
         }
     }
 
-    /** Taken for an empty list, a malformed one would end all service. */
+    /** If a malformed list were treated as an empty list, no endpoint would be left to serve requests. */
     @Test
-    void aMalformedListIsAFailedCallAndAFullSnapshotFollows() throws Exception {
+    void requestsFullSnapshotAfterMalformedList() throws Exception {
         String[] malformedLists = {
             "no json",
             "",
@@ -110,7 +113,8 @@
             "{\"generation\":50,\"reset\":true,\"instances\":[7]}"
         };
         for (String malformed : malformedLists) {
-            try (SidecarFixture fixture = polled(inTurn(respond(malformed), fullSnapshot(60, READY)))) {
+            try (SidecarFixture fixture =
+                    newPolledFixture(scriptOfSteps(respond(malformed), fullSnapshot(60, READY)))) {
                 fixture.start();
                 fixture.await("list CACHED");
                 assertEquals("list FAILED ", fixture.await("list"), malformed);
@@ -123,8 +127,8 @@
     }
 
     @Test
-    void failedCallsNotifyTheModuleAndKeepTheGeneration() throws Exception {
-        try (SidecarFixture fixture = polled(inTurn(
+    void reportsFailedCallAndKeepsGeneration() throws Exception {
+        try (SidecarFixture fixture = newPolledFixture(scriptOfSteps(
                 respond("503 Down", "", ""),
                 (request, connection) -> connection.reset(),
                 (request, connection) -> connection.write("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n"),
@@ -139,32 +143,36 @@
         }
     }
 
-    /** Where lists are pushed the module never polls: the watch goes on by itself, also after failures. */
+    /**
+     * When lists are pushed, the decision module never polls. The watch has to continue by itself, also after failures.
+     */
     @Test
-    void pushedListsAreWatchedWithoutAPoll() throws Exception {
-        try (SidecarFixture fixture = pushed(inTurn(delta(41), respond("503 Down", "", ""), delta(42, READY)))) {
+    void watchesPushedListsWithoutPoll() throws Exception {
+        try (SidecarFixture fixture =
+                newPushedFixture(scriptOfSteps(delta(41), respond("503 Down", "", ""), delta(42, READY)))) {
             fixture.start();
             fixture.await("list CACHED");
             assertEquals(
                     "list DELTA u0=READY",
                     fixture.await("list"),
-                    "notified of a call that the module has not made, or of no change");
+                    "notified of a failure that it did not poll for, or of a delta without changes");
         }
     }
 
     /**
-     * After a reload the previous service may fall silent or reset its connections: the full snapshot of the new one is
-     * fetched at once, the cancelled call is no failure with a backoff, and its late response is ignored.
+     * After a configuration reload, the previous service may stop responding or reset its connections. The full
+     * snapshot of the new service must be fetched at once, without a backoff for the cancelled call, and a late
+     * response to the cancelled call must be ignored.
      */
     @Test
-    void aNewServiceIsQueriedForAFullSnapshotAtOnce() throws Exception {
+    void requestsFullSnapshotFromNewServiceAtOnce() throws Exception {
         try (StubServer newService = new StubServer((request, connection) -> {
                     if (request.path().equals("/registry/instances")) {
                         connection.respond("200 OK", "", SidecarFixture.list(3, true, READY));
                     }
                 });
-                SidecarFixture fixture = polled(SILENT)) {
-            fixture.watchTimeouts = HOUR_LONG;
+                SidecarFixture fixture = newPolledFixture(SILENT)) {
+            fixture.watchTimeouts = HOUR_LONG_TIMEOUTS;
             fixture.start();
             fixture.await("list CACHED");
             assertTrue(fixture.discovery.next().path().contains("?index=41&wait="));
@@ -179,14 +187,14 @@
         }
     }
 
-    /** Changes count as delivered also while no watch is up. */
+    /** The sidecar is expected to know changes even while no call is open, so the call is repeated without a pause. */
     @Test
-    void aWatchWhoseConnectionBreaksIsRestartedAtOnce() throws Exception {
+    void repeatsCallAtOnceAfterConnectionLoss() throws Exception {
         StubServer.Script unchanged = (request, connection) -> connection.respond(
                 "200 OK", "", SidecarFixture.list(request.path().contains("=41&") ? 41 : 42, false));
-        try (SidecarFixture fixture = startPushed(
-                HOUR_LONG,
-                inTurn(
+        try (SidecarFixture fixture = startPushedFixture(
+                HOUR_LONG_TIMEOUTS,
+                scriptOfSteps(
                         unchanged,
                         (request, connection) -> connection.reset(),
                         delta(42, DRAINING),
@@ -196,33 +204,36 @@
             fixture.await("list CACHED");
             assertEquals("list DELTA u0=DRAINING", fixture.await("list"));
             assertEquals(
-                    "list DELTA u0=READY", fixture.await("list"), "a later failure was not counted as a first one");
+                    "list DELTA u0=READY",
+                    fixture.await("list"),
+                    "a failure after a success was not counted as a first failure");
         }
     }
 
-    /** A watch that has fallen silent never responds any more; what it misses counts as delivered before long. */
+    /** A call that gets no response must time out, because the sidecar is soon expected to know the missed changes. */
     @Test
-    void aSilentWatchIsRestartedAtOnce() throws Exception {
+    void repeatsCallAtOnceAfterTimeout() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (SidecarFixture fixture = startPushed(new WatchTimeouts(1, 100, HOUR_MILLIS), (request, connection) -> {
-            switch (calls.incrementAndGet()) {
-                case 1 -> connection.respond("200 OK", "", SidecarFixture.list(41, false));
-                case 2 -> {}
-                default -> connection.respond("200 OK", "", SidecarFixture.list(42, false, DRAINING));
-            }
-        })) {
+        try (SidecarFixture fixture =
+                startPushedFixture(new WatchTimeouts(1, 100, HOUR_MILLIS), (request, connection) -> {
+                    switch (calls.incrementAndGet()) {
+                        case 1 -> connection.respond("200 OK", "", SidecarFixture.list(41, false));
+                        case 2 -> {}
+                        default -> connection.respond("200 OK", "", SidecarFixture.list(42, false, DRAINING));
+                    }
+                })) {
             fixture.await("list CACHED");
             assertEquals("list DELTA u0=DRAINING", fixture.await("list"));
         }
     }
 
     @Test
-    void silenceIsNoticedWellBeforeMissedChangesCountAsDelivered() {
+    void timesOutBeforeMissedChangesMustBeKnown() {
         WatchTimeouts timeouts = WatchTimeouts.DEFAULT;
-        long deliveredMillis = Math.min(6_000, timeouts.waitMillis() + 2_000);
-        long noticedMillis = timeouts.longPollTimeoutMillis();
-        assertTrue(noticedMillis <= deliveredMillis - 1_000, "noticed after " + noticedMillis + " ms");
-        // After a reload there are 4 s: time for several calls without a response.
+        long changesKnownMillis = Math.min(6_000, timeouts.longPollWaitMillis() + 2_000);
+        long timeoutMillis = timeouts.longPollTimeoutMillis();
+        assertTrue(timeoutMillis <= changesKnownMillis - 1_000, "long poll times out after " + timeoutMillis + " ms");
+        // After a reload, changes must be known within 4 s, so several calls must time out within that time.
         assertTrue(timeouts.immediateTimeoutMillis(0)
                         + timeouts.immediateTimeoutMillis(1)
                         + timeouts.immediateTimeoutMillis(2)
@@ -230,11 +241,11 @@
                 <= 3_000);
     }
 
-    /** The list of the configuration may be old: nothing is served by it alone. */
+    /** The list in the configuration may be outdated, so the sidecar is not ready before the first call has ended. */
     @Test
-    void aSidecarIsReadyOnceTheChangesSinceItsStartWereFetched() throws Exception {
+    void becomesReadyAfterFirstResponse() throws Exception {
         BlockingQueue<StubServer.Connection> firstCalls = new LinkedBlockingQueue<>();
-        try (SidecarFixture fixture = startPushed(HOUR_LONG, (request, connection) -> {
+        try (SidecarFixture fixture = startPushedFixture(HOUR_LONG_TIMEOUTS, (request, connection) -> {
             if (request.path().equals("/registry/instances?index=41&wait=0")) {
                 firstCalls.add(connection);
             }
@@ -247,10 +258,10 @@
         }
     }
 
-    /** While discovery is down, the list of the configuration has to do. */
+    /** While discovery is down, the list in the configuration is the only one available. */
     @Test
-    void aSidecarIsReadyWithoutDiscoveryOnceACallHasFailed() throws Exception {
-        try (SidecarFixture fixture = startPushed(new WatchTimeouts(HOUR_MILLIS, 0, 1), SILENT)) {
+    void becomesReadyAfterFirstFailedCall() throws Exception {
+        try (SidecarFixture fixture = startPushedFixture(new WatchTimeouts(HOUR_MILLIS, 0, 1), SILENT)) {
             while (readinessStatus(fixture) != 200) {
                 Thread.onSpinWait();
             }
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListCursorTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListCursorTest.java
@@ -20,42 +20,43 @@
     }
 
     @Test
-    void theFirstCallFetchesTheChangesAtOnceAndLaterOnesWait() {
+    void requestsLongPollAfterFirstCall() {
         assertEquals("/registry/instances?index=41&wait=0", cursor.nextRequestTarget(2_000));
-        assertFalse(cursor.callCompleted());
+        assertFalse(cursor.hasCompletedCall());
         cursor.advanceTo(list(43, false));
         assertEquals("/registry/instances?index=43&wait=2000", cursor.nextRequestTarget(2_000));
-        assertTrue(cursor.callCompleted());
+        assertTrue(cursor.hasCompletedCall());
     }
 
     @Test
-    void aFailedCallKeepsTheGenerationAndAMalformedListDoesNot() {
-        cursor.callFailed(CallFailure.TIMEOUT);
-        assertTrue(cursor.callCompleted());
+    void requestsFullSnapshotOnlyAfterMalformedList() {
+        cursor.recordFailedCall(CallFailure.TIMEOUT);
+        assertTrue(cursor.hasCompletedCall());
         assertEquals("/registry/instances?index=41&wait=2000", cursor.nextRequestTarget(2_000));
-        cursor.callFailed(CallFailure.MALFORMED_LIST);
+        cursor.recordFailedCall(CallFailure.MALFORMED_LIST);
         assertFalse(cursor.nextCallIsLongPoll());
         assertEquals("/registry/instances", cursor.nextRequestTarget(2_000));
-        cursor.callFailed(CallFailure.TIMEOUT);
+        cursor.recordFailedCall(CallFailure.TIMEOUT);
         assertEquals("/registry/instances", cursor.nextRequestTarget(2_000));
     }
 
     @Test
-    void anotherServiceIsAskedForAFullSnapshotBeforeAnyCallHasCompleted() {
-        cursor.serviceReplaced();
-        assertFalse(cursor.callCompleted());
+    void requestsFullSnapshotFromNewService() {
+        cursor.requireFullSnapshot();
+        assertFalse(cursor.hasCompletedCall());
         assertEquals("/registry/instances", cursor.nextRequestTarget(2_000));
     }
 
     @Test
-    void onlyListsThatContinueTheKnownOneAreAccepted() {
+    void rejectsEmptySnapshotAndInapplicableDelta() {
         assertTrue(cursor.accepts(list(41, false)));
         assertTrue(cursor.accepts(list(42, false, ENTRY)));
         assertFalse(cursor.accepts(list(40, false, ENTRY)));
-        assertTrue(cursor.accepts(list(3, true, ENTRY)), "a full snapshot may begin a new sequence");
-        assertFalse(cursor.accepts(list(50, true)), "an empty full snapshot would end all service");
-        cursor.callFailed(CallFailure.MALFORMED_LIST);
-        assertFalse(cursor.accepts(list(42, false, ENTRY)), "a delta to an unknown list");
+        assertTrue(cursor.accepts(list(3, true, ENTRY)), "a full snapshot may have a lower generation");
+        assertFalse(cursor.accepts(list(50, true)), "an empty full snapshot would leave no endpoint");
+        cursor.recordFailedCall(CallFailure.MALFORMED_LIST);
+        assertFalse(
+                cursor.accepts(list(42, false, ENTRY)), "a delta can't be applied while a full snapshot is required");
         assertTrue(cursor.accepts(list(3, true, ENTRY)));
     }
 }
--- a/src/test/java/loadbalancer/proxy/discovery/ExponentialBackoffTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/ExponentialBackoffTest.java
@@ -12,18 +12,18 @@
     }
 
     @Test
-    void theFirstFailureCostsNoPauseAndLaterPausesDoubleUpToTheMaximum() {
+    void doublesPauseFromSecondFailureUpToMaximum() {
         assertArrayEquals(
                 new long[] {0, 20, 40, 80, 100, 100}, pauses(new ExponentialBackoff(20, 100, bound -> bound - 1)));
         assertArrayEquals(new long[] {0, 10, 20, 40, 50, 50}, pauses(new ExponentialBackoff(20, 100, bound -> 0)));
     }
 
     @Test
-    void aSuccessResetsThePauses() {
+    void returnsNoPauseAfterReset() {
         ExponentialBackoff backoff = new ExponentialBackoff(20, 100, bound -> 0);
         pauses(backoff);
         backoff.reset();
-        assertEquals(0, backoff.failures());
+        assertEquals(0, backoff.consecutiveFailures());
         assertEquals(0, backoff.recordFailure());
     }
 }
--- a/src/test/java/loadbalancer/proxy/protocol/EndpointListTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/EndpointListTest.java
@@ -18,13 +18,13 @@
         return EndpointList.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String list(String entry) {
+    private static String listOf(String entry) {
         return "{\"generation\":3,\"reset\":false,\"instances\":[" + entry + "]}";
     }
 
     @Test
-    void absentFieldsGetTheirDefaultsAndTimesBecomeMicroseconds() {
-        EndpointList list = parse(list(ENTRY));
+    void appliesDefaultsAndConvertsStartTimesToMicroseconds() {
+        EndpointList list = parse(listOf(ENTRY));
         assertEquals(3, list.generation());
         assertFalse(list.fullSnapshot());
         assertEquals(
@@ -34,29 +34,32 @@
     }
 
     @Test
-    void eachLifecycleHasItsState() {
+    void convertsLifecycleToState() {
         assertEquals(
                 EndpointState.DRAINING,
-                parse(list(ENTRY.replace("Ready", "Terminating")))
+                parse(listOf(ENTRY.replace("Ready", "Terminating")))
                         .endpoints()
                         .get(0)
                         .state());
         assertEquals(
                 EndpointState.REMOVED,
-                parse(list(ENTRY.replace("Ready", "Gone"))).endpoints().get(0).state());
+                parse(listOf(ENTRY.replace("Ready", "Gone"))).endpoints().get(0).state());
     }
 
     @Test
-    void malformedListsSayWhatIsWrong() {
-        assertMalformed("no JSON object", "[]");
-        assertMalformed("'instances' is missing", "{\"generation\":3,\"reset\":false}");
-        assertMalformed("'reset' is missing", "{\"generation\":3,\"instances\":[]}");
-        assertMalformed("'instances' holds what is no object", list("7"));
-        assertMalformed("'instanceId' is missing", list(ENTRY.replace("instanceId", "id")));
-        assertMalformed("lifecycle 'Lost' is unknown", list(ENTRY.replace("Ready", "Lost")));
-        assertMalformed("no address: 'host:9'", list(ENTRY.replace("127.0.0.1", "host")));
-        assertMalformed("no address: '127.0.0.1'", list(ENTRY.replace(":9", "")));
-        assertMalformed("port out of range", list(ENTRY.replace(":9", ":99999")));
+    void reportsErrorInMalformedList() {
+        assertMalformed("expected a JSON object, found another JSON value or no text", "[]");
+        assertMalformed("field 'instances' is missing", "{\"generation\":3,\"reset\":false}");
+        assertMalformed("field 'reset' is missing", "{\"generation\":3,\"instances\":[]}");
+        assertMalformed("field 'instances' has an element that is not an object", listOf("7"));
+        assertMalformed("field 'instanceId' is missing", listOf(ENTRY.replace("instanceId", "id")));
+        assertMalformed(
+                "field 'lifecycle' is 'Lost'; expected Ready, Terminating or Gone",
+                listOf(ENTRY.replace("Ready", "Lost")));
+        assertMalformed(
+                "expected a numeric address host:port, found 'host:9'", listOf(ENTRY.replace("127.0.0.1", "host")));
+        assertMalformed("expected a numeric address host:port, found '127.0.0.1'", listOf(ENTRY.replace(":9", "")));
+        assertMalformed("port out of range", listOf(ENTRY.replace(":9", ":99999")));
     }
 
     private static void assertMalformed(String expected, String text) {
--- a/src/test/java/loadbalancer/proxy/protocol/HeaderValuesTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/HeaderValuesTest.java
@@ -12,18 +12,18 @@
     private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,9}");
     private static final Pattern HEX = Pattern.compile("[0-9a-fA-F]{1,16}");
-    private static final Pattern TARGET = Pattern.compile("/[\\x21-\\x7e]{0,4095}");
+    private static final Pattern REQUEST_TARGET = Pattern.compile("/[\\x21-\\x7e]{0,4095}");
 
-    /** Texts near the edges of each pattern, drawn from one seed. */
+    /** The random texts come from a fixed seed; the lengths are those at and next to the limits of the patterns. */
     @Test
-    void theChecksAgreeWithTheirPatterns() {
+    void agreesWithRegularExpressions() {
         Random random = new Random(16);
         String alphabet = "09afAFgG/!~ \t\u007f\u00e9\u0660x?";
         for (int i = 0; i < 20_000; i++) {
             StringBuilder text = new StringBuilder(random.nextInt(3) == 0 ? "/" : "");
-            int distinct = 1 + random.nextInt(alphabet.length());
+            int alphabetSize = 1 + random.nextInt(alphabet.length());
             for (int remaining = random.nextInt(20); remaining > 0; remaining--) {
-                text.append(alphabet.charAt(random.nextInt(distinct)));
+                text.append(alphabet.charAt(random.nextInt(alphabetSize)));
             }
             check(text.toString());
         }
@@ -35,7 +35,7 @@
 
     private static void check(String text) {
         assertEquals(TOKEN.matcher(text).matches(), HeaderValues.isToken(text), text);
-        assertEquals(TARGET.matcher(text).matches(), HeaderValues.isRequestTarget(text), text);
+        assertEquals(REQUEST_TARGET.matcher(text).matches(), HeaderValues.isRequestTarget(text), text);
         assertEquals(
                 WHOLE_NUMBER.matcher(text).matches() ? Long.parseLong(text) : -1,
                 HeaderValues.parseWholeNumber(text),
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void secondsHaveThreeDecimals() {
+    void formatsSecondsWithThreeDecimals() {
         assertEquals("0.000", HeaderValues.formatSeconds(0));
         assertEquals("0.001", HeaderValues.formatSeconds(500));
         assertEquals("0.050", HeaderValues.formatSeconds(50_000));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void textThatCouldBeReadInTwoWaysIsNoToken() {
+    void rejectsTokenWithSpace() {
         assertTrue(HeaderValues.isToken("a-1"));
         assertFalse(HeaderValues.isToken("a b"));
     }
--- a/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void eachKindOfValueIsRead() {
+    void readsEachTypeOfValue() {
         JsonObject json = parse(
                 " {\n \"a\" : {\"b\":[1,-2.5e1,\"x\\u00e9\",true,null,[]]}, \"n\":null, \"big\":9007199254740993,\n"
                         + "\"list\":[{\"i\":1},{\"i\":2}],\"flag\":false,\"texts\":[\"p\",\"q\"]}");
@@ -32,9 +32,9 @@
         assertEquals("2", json.flattened().get("list.count"));
     }
 
-    /** Callers handle one type of exception, wherever a text is cut off. */
+    /** Callers handle only MalformedJsonException, so truncation at any point must throw it. */
     @Test
-    void malformedTextIsRejected() {
+    void rejectsMalformedText() {
         String complete = "{\"a\":[1,{\"b\":\"c\"}],\"d\":true}";
         for (int cut = 0; cut < complete.length(); cut++) {
             String text = complete.substring(0, cut);
