--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryMode.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryMode.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy.discovery;
 
-/** Whether the sidecar or the load balancer starts calls to discovery. */
+/** Determines whether the sidecar or the load balancer starts calls to discovery. */
 public enum DiscoveryMode {
     /** The sidecar watches the endpoint list from its start; the load balancer never polls. */
     PUSHED,
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Returns whether a call has been answered or has failed, so that the list is as recent as possible. */
+    /** Returns whether any call has been answered or has failed. The list is then as recent as possible. */
     public boolean hasSynced() {
         return cursor.hasCompletedCall();
     }
--- a/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
+++ b/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
@@ -14,7 +14,7 @@
 
     private final long initialPauseMicros;
     private final long maxPauseMicros;
-    /** Returns a boundedRandom number from 0 (inclusive) to its argument (exclusive). */
+    /** Returns a random number from 0 (inclusive) to its argument (exclusive). */
     private final LongUnaryOperator boundedRandom;
 
     private int consecutiveFailures;
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
@@ -2,12 +2,12 @@
 
 /**
  * Timeouts of calls to discovery. If a long poll gets no response, the sidecar is expected to know the changes that it
- * missed 6 s after discovery last responded, or 2 s after the end of the wait that the call asked for. A short wait and
- * a short margin leave most of that time for further calls.
+ * missed 6 s after discovery stopped responding, or 2 s after the end of the wait that the call asked for. A short wait
+ * and a short margin leave most of that time for further calls.
  *
  * <p>Any other call is an immediate call: the discovery agent, which runs on this machine, answers it at once. The
- * timeout of immediate calls doubles with each consecutive failure, because a long list may reach a busy sidecar
- * slowly.
+ * timeout of immediate calls doubles with each consecutive failure, at most twice, because a long list may reach a busy
+ * sidecar slowly.
  *
  * @param longPollWaitMillis how long discovery may delay the response to a long poll
  * @param longPollMarginMillis how long after that delay the response to a long poll may arrive
--- a/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -20,7 +20,7 @@
     /**
      * Parses a JSON object from text in UTF-8.
      *
-     * @throws MalformedJsonException if the text is not a JSON object
+     * @throws MalformedJsonException if the text does not begin with a complete JSON object
      */
     public static JsonObject parse(byte[] text) {
         return new JsonObject(JsonReader.readObject(text));
--- a/src/main/java/loadbalancer/proxy/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleConnections.java
@@ -3,11 +3,11 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 
-/** The idle connections to one endpoint, the most recently used first. Owned by the event loop of the pool. */
+/** The idle connections to one endpoint, most recently used first. Confined to the event loop of the pool. */
 final class IdleConnections {
     private final ArrayDeque<UpstreamConnection> connections = new ArrayDeque<>();
 
-    /** Adds the connection that was used most recently. */
+    /** Adds a connection, which must have been used more recently than the others. */
     void add(UpstreamConnection connection) {
         connections.addFirst(connection);
     }
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Removes and returns the most recently used connection whose reuse delay is over; null if there is none.
-     * Preferring the most recent lets surplus connections reach the idle timeout. Unusable connections found before it
-     * are closed.
+     * Removes and returns the most recently used connection whose reuse delay is over, or returns null if there is
+     * none. Because recently used connections are preferred, surplus connections reach the idle timeout. The search
+     * closes unusable connections that it finds.
      *
-     * @param lastReadMicros when the last reading of all sockets began
+     * @param lastReadMicros when the event loop last began to read all sockets
      */
     UpstreamConnection take(long nowMicros, long lastReadMicros, long idleTimeoutMicros) {
         for (Iterator<UpstreamConnection> iterator = connections.iterator(); iterator.hasNext(); ) {
@@ -56,12 +56,12 @@
         }
     }
 
-    /** When the least recently used connection became idle. Must not be called if there is none. */
+    /** Returns when the least recently used connection became idle. Must not be called if there is no connection. */
     long oldestIdleSinceMicros() {
         return connections.peekLast().idleSinceMicros();
     }
 
-    /** Closes the least recently used connection. Must not be called if there is none. */
+    /** Closes the least recently used connection. Must not be called if there is no connection. */
     void closeOldest() {
         connections.pollLast().close();
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
@@ -12,9 +12,10 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Aggregates responses whose headers determine where they end. Any other is rejected with a
- * {@link CorruptedFrameException}: a response that ends when its connection closes can't be distinguished from a
- * truncated one, and 101 (switching protocols) is followed by no response. Used by one connection, on its event loop.
+ * Aggregates responses whose headers determine where the response ends. Rejects any other response with a
+ * {@link CorruptedFrameException}. A response that ends when its connection closes can't be distinguished from a
+ * truncated response, and no response to the request follows the status 101 (switching protocols). Used by one
+ * connection, on its event loop.
  */
 final class ResponseAggregator extends HttpObjectAggregator {
     private boolean inProgress;
@@ -23,7 +24,7 @@
         super(maxBodyBytes);
     }
 
-    /** Whether a response has begun but not ended. */
+    /** Returns whether a response has begun but has not ended. */
     boolean inProgress() {
         return inProgress;
     }
@@ -32,7 +33,7 @@
     protected FullHttpMessage beginAggregation(HttpMessage start, ByteBuf content) throws Exception {
         if (!start.decoderResult().isSuccess() || !hasKnownEnd(start)) {
             content.release();
-            throw new CorruptedFrameException("a response without a known end");
+            throw new CorruptedFrameException("response is malformed, or its headers do not determine where it ends");
         }
         inProgress = true;
         return super.beginAggregation(start, content);
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
@@ -8,8 +8,8 @@
 import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * Determines the outcome of a call from its response and ends the call with it. Stateless; the caller still owns the
- * response's buffer.
+ * Determines the outcome of a call from its response and ends the call with this outcome. The caller keeps the
+ * ownership of the response's buffer. Stateless.
  */
 final class ResponseClassifier {
     private static final String REJECTED_VALUE = "1";
@@ -20,12 +20,13 @@
         LoadReport loadReport = loadReport(call, response);
         AttemptOutcome outcome = outcome(response);
         if (call.isHealthCheck() && outcome == AttemptOutcome.OK && loadReport == null) {
-            // Without this the load balancer could not distinguish an unreadable report from a missing one.
+            // Otherwise the load balancer could not distinguish a malformed load report from a missing one.
             outcome = AttemptOutcome.MALFORMED_RESPONSE;
         }
         if (!call.isWritten() && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
-            // No endpoint can respond to a request before it was sent, so this response belongs to another one.
-            call.malformedResponse();
+            // An endpoint can't respond to a request that is not completely sent, so the response belongs to another
+            // request.
+            call.onMalformedResponse();
         } else {
             call.end(outcome, loadReport, outcome == AttemptOutcome.OK ? response.content() : null);
         }
@@ -43,7 +44,7 @@
         return switch (status) {
             case 200 -> AttemptOutcome.OK;
             case 503, 504 -> isRejection(response) ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
-                // Caused by the client: no other endpoint would accept the request either.
+                // The client caused the error, so no other endpoint would accept the request either.
             default -> status >= 400 && status < 500 ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.ERROR;
         };
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseDecoder.java
@@ -22,7 +22,10 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Whether bytes were read that belong to no decoded message yet: the start of a response, or data after one. */
+    /**
+     * Returns whether bytes have been read that do not belong to a decoded message. They are the start of a response,
+     * or data after a response.
+     */
     boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseStallTimer.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseStallTimer.java
@@ -7,52 +7,53 @@
 import java.util.function.Consumer;
 
 /**
- * Detects a response that has begun but makes no progress for a time. A response that arrives slowly but steadily is
- * not affected. Used by one connection, on its event loop.
+ * Detects a response that has begun but makes no progress within the stall timeout. A response that arrives slowly but
+ * steadily is not affected. Used by one connection, on its event loop.
  */
 final class ResponseStallTimer {
-    private final long stallMicros;
+    private final long stallTimeoutMicros;
     private final BooleanSupplier responseIncomplete;
     private final Consumer<ChannelHandlerContext> onStall;
     private long lastProgressNanos;
     /** Null while no check is scheduled. */
-    private Future<?> check;
+    private Future<?> scheduledCheck;
 
     /**
      * Creates a timer that is not running.
      *
-     * @param stallMicros the longest pause between two reads of one response
-     * @param responseIncomplete whether a response has begun and not ended; checked when the pause is over
+     * @param stallTimeoutMicros the maximum time between two reads of one response
+     * @param responseIncomplete returns whether a response has begun but has not ended; called when the timeout is over
      * @param onStall called with the connection's context when a response stalls
      */
-    ResponseStallTimer(long stallMicros, BooleanSupplier responseIncomplete, Consumer<ChannelHandlerContext> onStall) {
-        this.stallMicros = stallMicros;
+    ResponseStallTimer(
+            long stallTimeoutMicros, BooleanSupplier responseIncomplete, Consumer<ChannelHandlerContext> onStall) {
+        this.stallTimeoutMicros = stallTimeoutMicros;
         this.responseIncomplete = responseIncomplete;
         this.onStall = onStall;
     }
 
-    /** A part of a response was read. */
+    /** Restarts the timeout after a part of a response was read. */
     void recordProgress(ChannelHandlerContext context) {
         lastProgressNanos = System.nanoTime();
-        if (check == null) {
-            schedule(context, stallMicros);
+        if (scheduledCheck == null) {
+            schedule(context, stallTimeoutMicros);
         }
     }
 
     void cancel() {
-        if (check != null) {
-            check.cancel(false);
-            check = null;
+        if (scheduledCheck != null) {
+            scheduledCheck.cancel(false);
+            scheduledCheck = null;
         }
     }
 
     private void schedule(ChannelHandlerContext context, long delayMicros) {
-        check = context.executor().schedule(() -> check(context), delayMicros, TimeUnit.MICROSECONDS);
+        scheduledCheck = context.executor().schedule(() -> checkProgress(context), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void check(ChannelHandlerContext context) {
-        check = null;
-        long remainingMicros = stallMicros - (System.nanoTime() - lastProgressNanos) / 1000;
+    private void checkProgress(ChannelHandlerContext context) {
+        scheduledCheck = null;
+        long remainingMicros = stallTimeoutMicros - (System.nanoTime() - lastProgressNanos) / 1000;
         if (!responseIncomplete.getAsBoolean()) {
             return;
         }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -9,10 +9,10 @@
 import loadbalancer.decision.LoadReport;
 
 /**
- * One request to an endpoint, from its creation to its one outcome. As long as its last byte is not written, it is
- * certain that the endpoint has not run it; most outcomes depend on that. Times are in microseconds of the
- * {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop of the {@link UpstreamConnectionPool}
- * that it is started on.
+ * One request to an endpoint, which ends with exactly one outcome. Until the last byte of the request is written, the
+ * endpoint can't have run the request. Therefore most outcomes depend on whether the request has been written. Times
+ * are in microseconds of the {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop of the
+ * {@link UpstreamConnectionPool} that starts the call.
  */
 public final class UpstreamCall {
     private enum Kind {
@@ -27,13 +27,13 @@
     private final UpstreamCallListener listener;
 
     private long startedMicros;
-    /** 0 until the end is recorded; see {@link #recordEnd}. */
+    /** 0 until {@link #recordEnd} is called. */
     private long endedMicros;
-    /** The endpoint process that the call goes to; null until the call is started. */
-    private UpstreamEndpoint target;
+    /** Null until the call is started. */
+    private UpstreamEndpoint endpoint;
 
-    private Future<?> timeout;
-    /** Null until an idle connection is chosen or a new one is opened. */
+    private Future<?> deadlineTimer;
+    /** Null until an idle connection is selected or a new connection is opened. */
     private Channel channel;
 
     private boolean written;
@@ -56,8 +56,8 @@
     /**
      * Creates a call that forwards a client's request.
      *
-     * @param requestFactory creates the message just before it is written; its argument is the microseconds left until
-     *     the deadline
+     * @param requestFactory creates the request just before it is written; its argument is the time left until the
+     *     deadline, in microseconds
      */
     public static UpstreamCall attempt(
             String endpointId,
@@ -67,7 +67,7 @@
         return new UpstreamCall(Kind.ATTEMPT, endpointId, deadlineMicros, requestFactory, listener);
     }
 
-    /** Creates a request for the endpoint's load report, which is the body of the response. */
+    /** Creates a call that requests the load report of an endpoint, which is the body of the response. */
     public static UpstreamCall healthCheck(
             String endpointId,
             long deadlineMicros,
@@ -76,49 +76,51 @@
         return new UpstreamCall(Kind.HEALTH_CHECK, endpointId, deadlineMicros, requestFactory, listener);
     }
 
-    /** The id of the endpoint that the call goes to. */
+    /** Returns the id of the endpoint to which the call is sent. */
     public String endpointId() {
         return endpointId;
     }
 
-    /** When the call was started. */
+    /** Returns when the call was started. */
     public long startedMicros() {
         return startedMicros;
     }
 
-    /** When the call ended; 0 until {@link #recordEnd} is called. */
+    /** Returns when the call ended, or 0 before {@link #recordEnd} is called. */
     public long endedMicros() {
         return endedMicros;
     }
 
-    /** Records when the call ended. Only used in the log. */
+    /** Records when the call ended. The time is used only in the log. */
     public void recordEnd(long timeMicros) {
         endedMicros = timeMicros;
     }
 
-    /** Whether the call has ended, so that its outcome is known. */
+    /** Returns whether the call has ended and its outcome is known. */
     public boolean hasEnded() {
         return outcome != null;
     }
 
-    /** Null until the call has ended. */
+    /** Returns the outcome, or null if the call has not ended. */
     public AttemptOutcome outcome() {
         return outcome;
     }
 
-    /** Cancels the call and closes its connection, so that a late response can't be mistaken for another call's. */
+    /**
+     * Cancels the call and closes its connection, so that a late response can't be mistaken for that of another call.
+     */
     public void cancel() {
         abort(AttemptOutcome.CANCELLED);
     }
 
-    /** Ends the call as {@link AttemptOutcome#NOT_SENT} if its request is not written yet; otherwise has no effect. */
+    /** Ends the call as {@link AttemptOutcome#NOT_SENT}; has no effect if its request has already been written. */
     public void withdraw() {
         if (!written) {
             abort(AttemptOutcome.NOT_SENT);
         }
     }
 
-    /** Ends a call as {@link AttemptOutcome#NOT_SENT} instead of starting it. */
+    /** Ends the call as {@link AttemptOutcome#NOT_SENT} without starting it. */
     public void endUnsent(long nowMicros) {
         startedMicros = nowMicros;
         end(AttemptOutcome.NOT_SENT);
@@ -132,24 +134,24 @@
         return deadlineMicros;
     }
 
-    /** Creates the message to send, which states the time left until the deadline. */
+    /** Creates the request to send, which contains the time left until the deadline. */
     FullHttpRequest createRequest(long nowMicros) {
         return requestFactory.apply(deadlineMicros - nowMicros);
     }
 
-    void start(long nowMicros, UpstreamEndpoint listed, Future<?> deadlineTimer) {
+    void start(long nowMicros, UpstreamEndpoint currentEndpoint, Future<?> timer) {
         startedMicros = nowMicros;
-        target = listed;
-        timeout = deadlineTimer;
+        endpoint = currentEndpoint;
+        deadlineTimer = timer;
     }
 
-    UpstreamEndpoint target() {
-        return target;
+    UpstreamEndpoint endpoint() {
+        return endpoint;
     }
 
-    /** Sets the connection that the call uses; it may not be established yet. */
-    void useConnection(Channel connection) {
-        channel = connection;
+    /** Sets the channel of the connection that the call uses. The connection may not be established yet. */
+    void setChannel(Channel callChannel) {
+        channel = callChannel;
     }
 
     void closeConnection() {
@@ -158,11 +160,11 @@
         }
     }
 
-    void requestWritten() {
+    void onRequestWritten() {
         written = true;
     }
 
-    /** Whether the last byte of the request was written. */
+    /** Returns whether the last byte of the request has been written. */
     boolean isWritten() {
         return written;
     }
@@ -175,15 +177,15 @@
         }
     }
 
-    void connectionLost() {
+    void onConnectionLost() {
         end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
-    void malformedResponse() {
+    void onMalformedResponse() {
         end(written ? AttemptOutcome.MALFORMED_RESPONSE : AttemptOutcome.CONNECT_FAILED);
     }
 
-    void timedOut() {
+    void onDeadline() {
         abort(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
     }
 
@@ -201,9 +203,9 @@
             return;
         }
         outcome = finalOutcome;
-        if (timeout != null) {
-            timeout.cancel(false);
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel(false);
         }
-        listener.callEnded(this, finalOutcome, loadReport, body);
+        listener.onCallEnded(this, finalOutcome, loadReport, body);
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -13,56 +13,59 @@
 import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * One connection to an endpoint, which carries one call at a time and matches the response to it. It is closed as soon
- * as anything is read that does not belong to the response of a call.
+ * One connection to an endpoint. It carries one call at a time and passes the response to this call. The connection is
+ * closed when anything is read that does not belong to the response to a call.
  *
- * <p>Confined to the event loop of its channel. A response is retained until it has been delivered; a listener that
- * needs the body for longer has to retain it.
+ * <p>Confined to the event loop of its channel. A response is retained until it has been delivered. A listener that
+ * needs the body for longer must retain it.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    /** Called when a connection has delivered the response to its call and may be reused, just before the call ends. */
+    /** Is called just before a call ends with a complete response, if its connection may be reused. */
     @FunctionalInterface
     interface ReleaseListener {
         void release(UpstreamCall call, UpstreamConnection connection);
     }
 
-    private static final AttributeKey<UpstreamConnection> ATTRIBUTE =
+    private static final AttributeKey<UpstreamConnection> CONNECTION_ATTRIBUTE =
             AttributeKey.valueOf(UpstreamConnection.class, "connection");
 
     private final Channel channel;
     private final ResponseDecoder decoder = new ResponseDecoder();
     private final ResponseAggregator aggregator = new ResponseAggregator(ProtocolConstants.MAX_RESPONSE_BODY_BYTES);
     private final ResponseStallTimer stallTimer;
-    /** The call whose response is awaited; null if there is none. */
+    /** The call that awaits its response, or null if there is none. */
     private UpstreamCall call;
 
     private ReleaseListener releaseListener;
-    /** The response to the call, kept until everything that was read together with it has been decoded. */
+    /**
+     * The response to the call, kept until all data that was read together with it has been decoded; otherwise null.
+     */
     private FullHttpResponse response;
-    /** Something was read that is not the response to the call. */
+    /** Whether anything was read that is not the response to the call. */
     private boolean malformed;
 
     private long idleSinceMicros;
     private long reusableFromMicros;
 
-    private UpstreamConnection(Channel channel, long stallMicros) {
+    private UpstreamConnection(Channel channel, long stallTimeoutMicros) {
         this.channel = channel;
-        stallTimer = new ResponseStallTimer(stallMicros, this::hasPartialResponse, this::failMalformed);
+        stallTimer = new ResponseStallTimer(stallTimeoutMicros, this::hasPartialResponse, this::failMalformed);
     }
 
-    /** Creates the connection of a new channel and adds its handlers to the pipeline. */
-    static UpstreamConnection install(Channel channel, long stallMicros) {
-        UpstreamConnection connection = new UpstreamConnection(channel, stallMicros);
-        channel.attr(ATTRIBUTE).set(connection);
+    /** Creates the connection for a new channel and adds its handlers to the pipeline. */
+    static UpstreamConnection install(Channel channel, long stallTimeoutMicros) {
+        UpstreamConnection connection = new UpstreamConnection(channel, stallTimeoutMicros);
+        channel.attr(CONNECTION_ATTRIBUTE).set(connection);
         channel.pipeline().addLast(new HttpRequestEncoder(), connection.decoder, connection.aggregator, connection);
         return connection;
     }
 
     /**
-     * Returns the connection that was installed on a channel, even if the channel is closed and has lost its handlers.
+     * Returns the connection that was installed on a channel, even if the channel is closed and its handlers are
+     * removed.
      */
     static UpstreamConnection of(Channel channel) {
-        return channel.attr(ATTRIBUTE).get();
+        return channel.attr(CONNECTION_ATTRIBUTE).get();
     }
 
     Channel channel() {
@@ -73,7 +76,7 @@
         channel.close();
     }
 
-    /** Starts a call: what is read from now on is the response to {@code next}. */
+    /** Starts a call. Data that is read from now on belongs to the response to {@code next}. */
     void begin(UpstreamCall next, ReleaseListener listener) {
         call = next;
         releaseListener = listener;
@@ -93,24 +96,24 @@
         return idleSinceMicros;
     }
 
-    /** Whether an idle connection may be used for another call, now or once its reuse delay is over. */
+    /** Returns whether an idle connection may be used for another call, now or after its reuse delay. */
     boolean isUsable(long nowMicros, long idleTimeoutMicros) {
         return channel.isActive() && !hasUnexpectedData() && nowMicros - idleSinceMicros < idleTimeoutMicros;
     }
 
     /**
-     * Whether the reuse delay is over and everything that arrived during it has been read; a busy event loop reads
-     * late.
+     * Returns whether the reuse delay is over and all data that arrived during the delay has been read. A busy event
+     * loop reads data late.
      *
-     * @param lastReadMicros when the last reading of all sockets began
+     * @param lastReadMicros when the event loop last began to read all sockets
      */
     boolean isReuseDelayOver(long lastReadMicros) {
         return lastReadMicros >= reusableFromMicros;
     }
 
     /**
-     * Whether anything was read after the last response. It could be another response, which would be mistaken for that
-     * to the next call.
+     * Returns whether anything was read after the last response. It could be another response, which would be mistaken
+     * for the response to the next call.
      */
     private boolean hasUnexpectedData() {
         return malformed || response != null || hasPartialResponse();
@@ -123,7 +126,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse received) {
         if (call == null || response != null || !received.decoderResult().isSuccess()) {
-            // An unsolicited response, such as a duplicate, or not HTTP.
+            // The message is an unsolicited response, such as a duplicate, or it is not valid HTTP.
             malformed = true;
         } else if (received.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
             response = received.retain();
@@ -131,8 +134,8 @@
     }
 
     /**
-     * The response is delivered here, because only after a whole read is decoded is it known whether anything follows
-     * it.
+     * Delivers the response. The response is delivered only after all data of a read has been decoded, because other
+     * data may follow it.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
@@ -162,7 +165,7 @@
         }
     }
 
-    /** Returns the call in progress, or null, and stops waiting for its response. */
+    /** Returns the call in progress, or null if there is none, and stops waiting for its response. */
     private UpstreamCall detachCall() {
         UpstreamCall detached = call;
         call = null;
@@ -174,7 +177,7 @@
         UpstreamCall failed = detachCall();
         context.close();
         if (failed != null) {
-            failed.malformedResponse();
+            failed.onMalformedResponse();
         }
     }
 
@@ -185,13 +188,12 @@
         }
         UpstreamCall lost = detachCall();
         if (lost != null) {
-            lost.connectionLost();
+            lost.onConnectionLost();
         }
     }
 
     /**
-     * After an I/O error the connection is closed, which ends its call. Any other error means that the response is
-     * malformed.
+     * Closes the connection after an I/O error, which ends its call. Treats any other error as a malformed response.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -16,27 +16,27 @@
 
 /**
  * Sends calls (attempts and health checks) on connections to the endpoints of the current list. An idle connection is
- * reused once its reuse delay is over; otherwise a new one is opened, within the limit of open connections. Each
+ * reused after its reuse delay. Otherwise a new connection is opened, within the limit of open connections. Each
  * connection carries one call at a time, and each call is written at most once.
  *
  * <p>All methods and the listeners of calls run on the event loop that owns the pool and its connections.
  */
 public final class UpstreamConnectionPool {
     /**
-     * How long a connection is not reused after a response. An endpoint may send a response twice, some milliseconds
-     * apart; the second must not be mistaken for the response to the next request.
+     * The time after a response during which its connection is not reused. An endpoint may send a response twice, some
+     * milliseconds apart. The second one must not be mistaken for the response to the next request.
      */
     public static final long REUSE_DELAY_MICROS = 30_000;
 
     /**
-     * Idle connections are closed this long before the endpoint may close them, so that no request is sent on a
-     * connection that the endpoint is just closing.
+     * Idle connections are closed this long before the endpoint may close them. Otherwise a request could be sent on a
+     * connection that the endpoint is closing at the same time.
      */
     private static final long IDLE_MARGIN_MICROS = 2_000_000;
 
     private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
-    private final EventLoop loop;
+    private final EventLoop nettyEventLoop;
     private final MonotonicClock clock;
     private final ReadTrackingEventLoop eventLoop;
     private final long reuseDelayMicros;
@@ -46,10 +46,10 @@
     private long idleTimeoutMicros;
 
     /**
-     * Starts a pool without endpoints.
+     * Creates a pool without endpoints and starts to close unusable idle connections periodically.
      *
      * @param reuseDelayMicros {@link #REUSE_DELAY_MICROS}, or 0 to reuse connections at once
-     * @param maxConnections how many connections may be open at the moment; called before each new connection
+     * @param maxConnections returns how many connections may be open; called before each new connection
      */
     public UpstreamConnectionPool(
             ReadTrackingEventLoop eventLoop,
@@ -59,21 +59,21 @@
             TrafficStatistics statistics) {
         this.eventLoop = eventLoop;
         this.reuseDelayMicros = reuseDelayMicros;
-        loop = eventLoop.nettyEventLoop();
+        nettyEventLoop = eventLoop.nettyEventLoop();
         clock = eventLoop.clock();
-        connector = new UpstreamConnector(loop, maxConnections, statistics);
+        connector = new UpstreamConnector(nettyEventLoop, maxConnections, statistics);
         updateTimeouts(timeouts);
-        loop.scheduleWithFixedDelay(
+        nettyEventLoop.scheduleWithFixedDelay(
                 () -> FaultIsolation.run("idle_connection_sweep", this::closeUnusableConnections),
                 SWEEP_INTERVAL_MILLIS,
                 SWEEP_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** The new idle timeout applies at once, the others only to connections that are opened from now on. */
+    /** Applies a new idle timeout at once, and the other timeouts to connections that are opened from now on. */
     public void updateTimeouts(UpstreamTimeouts timeouts) {
-        long idleMicros = timeouts.idleMicros();
-        idleTimeoutMicros = Math.max(idleMicros / 2, idleMicros - IDLE_MARGIN_MICROS);
+        long endpointIdleMicros = timeouts.endpointIdleTimeoutMicros();
+        idleTimeoutMicros = Math.max(endpointIdleMicros / 2, endpointIdleMicros - IDLE_MARGIN_MICROS);
         connector.updateTimeouts(timeouts);
     }
 
@@ -86,17 +86,17 @@
         return endpoints.size();
     }
 
-    /** Whether at least one endpoint is ready. */
+    /** Returns whether at least one endpoint is ready. */
     public boolean hasReadyEndpoint() {
         return endpoints.hasReady();
     }
 
-    /** How many connections are open or being opened. */
+    /** Returns the number of connections that are open or being opened. */
     public int openConnections() {
         return connector.openConnections();
     }
 
-    /** Closes the idle connections to one endpoint. Those in use or being opened are kept. */
+    /** Closes the idle connections to one endpoint. Keeps the connections that are in use or being opened. */
     public void closeIdleConnections(String endpointId) {
         UpstreamEndpoint endpoint = endpoints.get(endpointId);
         if (endpoint != null) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Closes the connection that has been idle for longest. Returns false if there is no idle connection. */
+    /** Closes the connection that has been idle for the longest time. Returns false if there is no idle connection. */
     public boolean closeOldestIdleConnection() {
         IdleConnections oldest = null;
         for (UpstreamEndpoint endpoint : endpoints.all()) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Starts a call. It ends at once if its endpoint is not ready, otherwise at its deadline at the latest. */
+    /** Starts a call. The call ends at once if its endpoint is not ready, and otherwise no later than its deadline. */
     public void startCall(UpstreamCall call) {
         long now = clock.nowMicros();
         UpstreamEndpoint endpoint = endpoints.get(call.endpointId());
@@ -136,8 +136,8 @@
             return;
         }
         long timeoutMicros = call.deadlineMicros() - now;
-        call.start(now, endpoint, loop.schedule(call::timedOut, timeoutMicros, TimeUnit.MICROSECONDS));
-        // What is read before may end the call, change the state of its endpoint or close an idle connection.
+        call.start(now, endpoint, nettyEventLoop.schedule(call::onDeadline, timeoutMicros, TimeUnit.MICROSECONDS));
+        // Data that is still unread may end the call, change the state of its endpoint or close an idle connection.
         eventLoop.afterPendingReads(() -> assignConnection(call));
     }
 
@@ -146,19 +146,20 @@
         if (call.hasEnded()) {
             return;
         }
-        UpstreamConnection idle =
-                call.target().idleConnections().take(clock.nowMicros(), eventLoop.lastReadMicros(), idleTimeoutMicros);
+        UpstreamConnection idle = call.endpoint()
+                .idleConnections()
+                .take(clock.nowMicros(), eventLoop.lastReadMicros(), idleTimeoutMicros);
         if (idle == null) {
             connect(call);
         } else {
-            call.useConnection(idle.channel());
+            call.setChannel(idle.channel());
             write(call, idle);
         }
     }
 
     /** Ends the call if its endpoint is no longer ready or its deadline has passed. */
     private void endIfNotSendable(UpstreamCall call) {
-        if (!call.target().isReady()) {
+        if (!call.endpoint().isReady()) {
             call.abort(AttemptOutcome.NOT_SENT);
         } else if (clock.nowMicros() >= call.deadlineMicros()) {
             call.abort(AttemptOutcome.CONNECT_FAILED);
@@ -166,25 +167,25 @@
     }
 
     private void connect(UpstreamCall call) {
-        if (!connector.hasRoom() && !closeOldestIdleConnection()) {
+        if (!connector.canOpenConnection() && !closeOldestIdleConnection()) {
             call.end(AttemptOutcome.NOT_SENT);
             return;
         }
-        ChannelFuture connecting = connector.connect(call.target().address());
-        Channel channel = connecting.channel();
-        call.useConnection(channel);
-        connecting.addListener(connected -> {
+        ChannelFuture connectFuture = connector.connect(call.endpoint().address());
+        Channel channel = connectFuture.channel();
+        call.setChannel(channel);
+        connectFuture.addListener(connected -> {
             if (call.hasEnded()) {
                 channel.close();
             } else if (!connected.isSuccess()) {
-                call.connectionLost();
+                call.onConnectionLost();
             } else {
-                eventLoop.afterPendingReads(() -> writeIfStillWanted(call, channel));
+                eventLoop.afterPendingReads(() -> writeIfSendable(call, channel));
             }
         });
     }
 
-    private void writeIfStillWanted(UpstreamCall call, Channel channel) {
+    private void writeIfSendable(UpstreamCall call, Channel channel) {
         endIfNotSendable(call);
         if (!call.hasEnded()) {
             write(call, UpstreamConnection.of(channel));
@@ -199,7 +200,7 @@
         connection.begin(call, releaseListener);
         connection.channel().writeAndFlush(request).addListener(written -> {
             if (written.isSuccess()) {
-                call.requestWritten();
+                call.onRequestWritten();
             } else {
                 connection.close();
                 call.end(writeFailure(written.cause()));
@@ -207,18 +208,21 @@
         });
     }
 
-    /** A request that can't be encoded is invalid. In either case the endpoint has not received it. */
+    /**
+     * Returns the outcome of a call whose request was not written. A request that can't be encoded is invalid. In
+     * either case the endpoint has not received the request.
+     */
     private static AttemptOutcome writeFailure(Throwable cause) {
         return cause instanceof EncoderException ? AttemptOutcome.INVALID_REQUEST : AttemptOutcome.CONNECT_FAILED;
     }
 
     private void release(UpstreamCall call, UpstreamConnection connection) {
-        if (!call.target().isReady() || !call.isWritten()) {
+        if (!call.endpoint().isReady() || !call.isWritten()) {
             connection.close();
             return;
         }
         long now = clock.nowMicros();
         connection.becomeIdle(now, reuseDelayMicros > 0 ? now + reuseDelayMicros : 0);
-        call.target().idleConnections().add(connection);
+        call.endpoint().idleConnections().add(connection);
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
@@ -10,55 +10,59 @@
 import loadbalancer.proxy.observability.TrafficStatistics;
 
 /**
- * Opens connections to endpoints, and counts those that are open or being opened. Confined to the event loop of the
- * pool.
+ * Opens connections to endpoints and counts the connections that are open or being opened. Confined to the event loop
+ * of the pool.
  */
 final class UpstreamConnector {
-    /** Replaced by {@link #updateTimeouts} before the first connection. */
+    /** Is replaced by {@link #updateTimeouts} before the first connection is opened. */
     private static final int INITIAL_CONNECT_TIMEOUT_MILLIS = 1;
 
     private final Bootstrap bootstrap;
-    /** How many connections the descriptors allow at the moment. */
+    /** Returns how many connections the available file descriptors allow. */
     private final IntSupplier maxConnections;
 
     private final TrafficStatistics statistics;
-    private long stallMicros;
+    private long stallTimeoutMicros;
     private int openConnections;
 
     UpstreamConnector(EventLoop loop, IntSupplier maxConnections, TrafficStatistics statistics) {
         this.maxConnections = maxConnections;
         this.statistics = statistics;
         bootstrap = ClientBootstraps.tcp(
-                loop, INITIAL_CONNECT_TIMEOUT_MILLIS, channel -> UpstreamConnection.install(channel, stallMicros));
+                loop,
+                INITIAL_CONNECT_TIMEOUT_MILLIS,
+                channel -> UpstreamConnection.install(channel, stallTimeoutMicros));
     }
 
-    /** Applies to connections that are opened from now on. */
+    /** Applies new timeouts to connections that are opened from now on. */
     void updateTimeouts(UpstreamTimeouts timeouts) {
-        stallMicros = timeouts.stallMicros();
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeouts.connectMicros() / 1000));
+        stallTimeoutMicros = timeouts.stallTimeoutMicros();
+        bootstrap.option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeouts.connectTimeoutMicros() / 1000));
     }
 
     int openConnections() {
         return openConnections;
     }
 
-    /** Whether one more connection may be opened. */
-    boolean hasRoom() {
+    /** Returns whether one more connection may be opened. */
+    boolean canOpenConnection() {
         return openConnections < maxConnections.getAsInt();
     }
 
     ChannelFuture connect(InetSocketAddress address) {
         openConnections++;
         statistics.upstreamConnectionOpened();
-        ChannelFuture connecting = bootstrap.connect(address);
-        connecting.addListener(connected -> {
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        connectFuture.addListener(connected -> {
             if (connected.isSuccess()) {
-                connecting.channel().closeFuture().addListener(closed -> openConnections--);
+                connectFuture.channel().closeFuture().addListener(closed -> openConnections--);
             } else {
-                // The close future may never complete here: without a free descriptor there is no socket to close.
+                // The close future may never complete here. If no file descriptor was free, there is no socket to
+                // close.
                 openConnections--;
             }
         });
-        return connecting;
+        return connectFuture;
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -5,9 +5,9 @@
 import loadbalancer.proxy.protocol.EndpointList;
 
 /**
- * One process that an endpoint id stands for, with its state in the current list and the idle connections to it. The
- * same id with another address or start time is another process. Calls keep a reference to the process that they were
- * started for; once it is removed from the list, it stays removed. Confined to the event loop of the pool.
+ * One process of an endpoint, with its state in the current endpoint list and the idle connections to it. An entry with
+ * the same endpoint id but another address or start time describes another process. A call keeps a reference to the
+ * process for which it was started. A removed process stays removed. Confined to the event loop of the pool.
  */
 final class UpstreamEndpoint {
     private final InetSocketAddress address;
@@ -38,7 +38,7 @@
         return idleConnections;
     }
 
-    /** Sets the state. Idle connections are closed if the endpoint takes no new requests. */
+    /** Sets the state. Closes the idle connections if the new state allows no new requests. */
     void updateState(EndpointState newState) {
         state = newState;
         if (newState != EndpointState.READY) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoints.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoints.java
@@ -8,7 +8,7 @@
 import loadbalancer.decision.EndpointState;
 import loadbalancer.proxy.protocol.EndpointList;
 
-/** The endpoints of the current list, by id. Confined to the event loop of the pool. */
+/** The endpoints of the current list by id. Confined to the event loop of the pool. */
 final class UpstreamEndpoints {
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
 
@@ -33,26 +33,26 @@
         }
         endpoint.updateState(entry.endpoint().state());
         if (entry.endpoint().state() == EndpointState.REMOVED) {
-            // Replacements come under new ids, so removed endpoints would accumulate if they were kept.
+            // A replacement has a new id, so removed endpoints would accumulate if they were kept.
             endpoints.remove(id);
         }
     }
 
     private void removeUnlisted(EndpointList fullSnapshot) {
-        Set<String> listed = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (EndpointList.Entry entry : fullSnapshot.entries()) {
-            listed.add(entry.endpoint().id());
+            listedIds.add(entry.endpoint().id());
         }
-        endpoints.entrySet().removeIf(known -> {
-            if (listed.contains(known.getKey())) {
+        endpoints.entrySet().removeIf(idAndEndpoint -> {
+            if (listedIds.contains(idAndEndpoint.getKey())) {
                 return false;
             }
-            known.getValue().updateState(EndpointState.REMOVED);
+            idAndEndpoint.getValue().updateState(EndpointState.REMOVED);
             return true;
         });
     }
 
-    /** Returns null if no such endpoint is known. */
+    /** Returns the endpoint, or null if the current list does not contain it. */
     UpstreamEndpoint get(String id) {
         return endpoints.get(id);
     }
--- a/src/main/java/loadbalancer/proxy/upstream/package-info.java
+++ b/src/main/java/loadbalancer/proxy/upstream/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Owns the connections to the endpoints and the calls on them: opening connections, reusing idle ones, reading
- * responses strictly, and giving each call its one outcome. It decides nothing about a request: the caller decides
- * which endpoint a call goes to, how long it may take and whether it is retried. No call is ever sent twice. Everything
- * here is confined to one event loop.
+ * Owns the connections to the endpoints and the calls on them. Opens connections, reuses idle ones, reads responses
+ * strictly, and ends each call with exactly one outcome. The package makes no decision about a request. The caller
+ * decides to which endpoint a call is sent, how long the call may take and whether the request is retried. No call is
+ * sent twice. All classes are confined to one event loop.
  */
 package loadbalancer.proxy.upstream;
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
@@ -258,7 +258,7 @@
         }
     }
 
-    /** While discovery is down, the list in the configuration is the only one available. */
+    /** While discovery is down, the sidecar serves requests by the list in the configuration. */
     @Test
     void becomesReadyAfterFirstFailedCall() throws Exception {
         try (SidecarFixture fixture = startPushedFixture(new WatchTimeouts(HOUR_MILLIS, 0, 1), SILENT)) {
--- a/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
@@ -32,7 +32,7 @@
         assertEquals("2", json.flattened().get("list.count"));
     }
 
-    /** Callers handle only MalformedJsonException, so truncation at any point must throw it. */
+    /** Callers handle only MalformedJsonException, so text that is truncated at any point must cause it. */
     @Test
     void rejectsMalformedText() {
         String complete = "{\"a\":[1,{\"b\":\"c\"}],\"d\":true}";
--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -14,18 +14,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What an endpoint does, and the outcome that the decision module gets. */
+/** Tests which outcome the decision module is notified of for each behavior of an endpoint. */
 @Timeout(60)
 class AttemptOutcomeTest {
-    /** A sidecar with one endpoint, {@code u0}, that handles requests by {@code script}. */
-    private static SidecarFixture started(StubServer.Script script) throws Exception {
+    /** Starts a sidecar with one endpoint, {@code u0}, which handles requests by {@code script}. */
+    private static SidecarFixture startFixture(StubServer.Script script) throws Exception {
         SidecarFixture fixture = new SidecarFixture();
         fixture.upstream(script);
         return fixture.start();
     }
 
     private static void assertOutcome(String expected, int status, StubServer.Script script) throws Exception {
-        try (SidecarFixture fixture = started(script);
+        try (SidecarFixture fixture = startFixture(script);
                 StubServer.Client client = fixture.client()) {
             client.send(SidecarFixture.get("a1", 20_000));
             assertEquals("outcome a1 0 " + expected, fixture.await("outcome"));
@@ -38,12 +38,12 @@
             assertOutcome("MALFORMED_RESPONSE false -", 502, (request, connection) -> connection.write(response));
         } catch (AssertionError e) {
             throw new AssertionError(
-                    "taken for a response: " + response.lines().limit(4).toList(), e);
+                    "accepted as a response: " + response.lines().limit(4).toList(), e);
         }
     }
 
     @Test
-    void aServedResponseCarriesItsLoadReport() throws Exception {
+    void reportsLoadReportOfResponse() throws Exception {
         assertOutcome(
                 "OK true 7.0",
                 200,
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void malformedLoadReportsAreIgnored() throws Exception {
+    void ignoresMalformedLoadReport() throws Exception {
         for (String report : new String[] {
             "TEXT inflight=", "TEXT inflight=NaN", "TEXT inflight=-1", "TEXT inflight=1e300, queue=0", "JSON {}", "TEXT"
         }) {
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void onlyAResponseMarkedAsRejectedProvesThatNothingRan() throws Exception {
+    void reportsRejectionOnlyWithRejectedHeader() throws Exception {
         assertOutcome(
                 "REJECTED false -",
                 502,
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aConnectionLostAfterTheRequestWasWrittenIsAReset() throws Exception {
+    void reportsResetAfterWrittenRequestLosesConnection() throws Exception {
         assertOutcome("RESET false -", 502, (request, connection) -> connection.reset());
         assertOutcome("RESET false -", 502, (request, connection) -> connection
                 .socket()
@@ -94,11 +94,11 @@
     }
 
     /**
-     * A response that may be cut short, or is none, must not be served. The endpoint keeps the connection open, so each
-     * of these has to be noticed here and long before the deadline.
+     * A response that is malformed or may be truncated must not be served. The endpoint keeps the connection open, so
+     * the sidecar has to detect each malformed response by itself, long before the deadline.
      */
     @Test
-    void malformedResponsesAreServedToNobody() throws Exception {
+    void rejectsMalformedResponse() throws Exception {
         String ok = "HTTP/1.1 200 OK\r\n";
         for (String response : new String[] {
             "this is no HTTP at all\r\n\r\n",
@@ -128,16 +128,16 @@
         });
     }
 
-    /** Bytes after a response belong to no request: they must not become the response to the next one. */
+    /** Bytes after a response belong to no request. They must not be served as the response to the next request. */
     @Test
-    void bytesAfterAResponseAreServedToNobody() throws Exception {
+    void doesNotServeBytesAfterResponse() throws Exception {
         for (String trailing : new String[] {
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
             "noise",
             "noise\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Le"
         }) {
-            try (SidecarFixture fixture = started((request, connection) -> connection.write(
+            try (SidecarFixture fixture = startFixture((request, connection) -> connection.write(
                             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("X-Txn") + trailing));
                     StubServer.Client client = fixture.client()) {
                 StubServer server = fixture.endpointServers.get(0);
@@ -150,18 +150,18 @@
         }
     }
 
-    /** A request that an endpoint can't use is its client's fault and no error of the endpoint. */
+    /** If a request is invalid, its client is at fault, so it must not count as an error of the endpoint. */
     @Test
-    void aRequestFoundInvalidIsNoError() throws Exception {
+    void reportsInvalidRequestForClientError() throws Exception {
         assertOutcome(
                 "INVALID_REQUEST false -", 502, (request, connection) -> connection.respond("400 Bad Request", "", ""));
         assertOutcome(
                 "INVALID_REQUEST false -", 502, (request, connection) -> connection.respond("404 Not Found", "", ""));
     }
 
-    /** Slow is not malformed: the pauses between the pieces exceed the stall timeout together, none does alone. */
+    /** A slow response is not malformed. The pauses exceed the stall timeout in total, but no single pause does. */
     @Test
-    void aResponseThatComesInPiecesIsAwaited() throws Exception {
+    void acceptsResponseInSlowPieces() throws Exception {
         assertOutcome("OK true -", 200, (request, connection) -> {
             for (String piece : "HTTP/1.1 200 OK|\r\nContent-|Length: 4\r\n|\r\ns|l|o|t".split("[|]")) {
                 connection.write(piece);
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void interimResponsesAreSkipped() throws Exception {
+    void skipsInterimResponses() throws Exception {
         assertOutcome("OK true -", 200, (request, connection) -> {
             connection.write("HTTP/1.1 100 Continue\r\n\r\n");
             connection.write("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
@@ -180,8 +180,8 @@
     }
 
     @Test
-    void aRefusedConnectionIsAFailureToConnect() throws Exception {
-        try (SidecarFixture fixture = started((request, connection) -> {});
+    void reportsConnectFailureForRefusedConnection() throws Exception {
+        try (SidecarFixture fixture = startFixture((request, connection) -> {});
                 StubServer.Client client = fixture.client()) {
             fixture.endpointServers.get(0).close();
             client.send(SidecarFixture.get("a1", 20_000));
@@ -189,10 +189,10 @@
         }
     }
 
-    /** A late response to a call that was given up must reach nobody, so the connection may not be reused. */
+    /** A late response to a call that timed out must not be served, so its connection must not be reused. */
     @Test
-    void aTimeoutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
-        try (SidecarFixture fixture = started((request, connection) -> {});
+    void closesConnectionAfterTimeout() throws Exception {
+        try (SidecarFixture fixture = startFixture((request, connection) -> {});
                 StubServer.Client client = fixture.client()) {
             StubServer server = fixture.endpointServers.get(0);
             fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 100_000);
@@ -209,8 +209,8 @@
     }
 
     @Test
-    void aCancelledAttemptClosesItsConnection() throws Exception {
-        try (SidecarFixture fixture = started((request, connection) -> {});
+    void reportsCancelledAttempt() throws Exception {
+        try (SidecarFixture fixture = startFixture((request, connection) -> {});
                 StubServer.Client client = fixture.client()) {
             fixture.onRequest = (now, request, out) -> {
                 out.sendAttempt(request.id(), "u0", 0);
@@ -221,11 +221,14 @@
         }
     }
 
-    /** Neither the library nor the pool may send a request twice: the loss of a stale connection is an outcome. */
+    /**
+     * Neither Netty nor the pool may send a request twice. If a reused connection turns out to be closed, the call must
+     * end as a reset.
+     */
     @Test
-    void aStaleConnectionIsAResetWithoutARetry() throws Exception {
+    void reportsResetOfStaleConnectionWithoutResending() throws Exception {
         Set<Socket> usedSockets = ConcurrentHashMap.newKeySet();
-        try (SidecarFixture fixture = started((request, connection) -> {
+        try (SidecarFixture fixture = startFixture((request, connection) -> {
                     if (usedSockets.add(connection.socket())) {
                         connection.respond("200 OK", "", "one");
                     } else {
@@ -236,7 +239,7 @@
             StubServer server = fixture.endpointServers.get(0);
             int calls = 0;
             String outcome;
-            // The first call on a connection that is reused meets the reset.
+            // The endpoint resets the first connection that is reused.
             do {
                 client.send(SidecarFixture.get("a" + ++calls, 20_000));
                 outcome = fixture.await("outcome a" + calls);
@@ -248,11 +251,11 @@
         }
     }
 
-    /** A call written to a connection that the endpoint announced to close would end as a reset. */
+    /** A call on a connection that the endpoint has announced to close would end as a reset. */
     @Test
-    void aConnectionThatTheEndpointClosesIsNotReused() throws Exception {
-        try (SidecarFixture fixture =
-                        started((request, connection) -> connection.respond("200 OK", "Connection: close\r\n", "one"));
+    void doesNotReuseConnectionThatEndpointCloses() throws Exception {
+        try (SidecarFixture fixture = startFixture(
+                        (request, connection) -> connection.respond("200 OK", "Connection: close\r\n", "one"));
                 StubServer.Client client = fixture.client()) {
             StubServer server = fixture.endpointServers.get(0);
             for (String id : new String[] {"a1", "a2"}) {
@@ -263,11 +266,14 @@
         }
     }
 
-    /** Endpoints send more than the protocol says; such a response would be rejected from each of them in turn. */
+    /**
+     * Endpoints send larger responses than the protocol states. If the size were limited accordingly, each retry would
+     * fail for the same reason at another endpoint.
+     */
     @Test
-    void aLargeResponsePasses() throws Exception {
+    void forwardsLargeResponse() throws Exception {
         try (SidecarFixture fixture =
-                        started((request, connection) -> connection.respond("200 OK", "", "z".repeat(400_000)));
+                        startFixture((request, connection) -> connection.respond("200 OK", "", "z".repeat(400_000)));
                 StubServer.Client client = fixture.client()) {
             client.send(SidecarFixture.get("a1", 20_000));
             assertEquals(400_000, client.readResponse().body().length());
@@ -275,8 +281,8 @@
     }
 
     @Test
-    void requestAndResponsePassUnchanged() throws Exception {
-        try (SidecarFixture fixture = started((request, connection) ->
+    void forwardsRequestAndResponseUnchanged() throws Exception {
+        try (SidecarFixture fixture = startFixture((request, connection) ->
                         connection.respond("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
                 StubServer.Client client = fixture.client()) {
             StubServer server = fixture.endpointServers.get(0);
@@ -290,7 +296,7 @@
             assertEquals("k9", sent.header("Idempotency-Key"));
             assertEquals("h\u00e9llo", sent.body());
             int remainingMillis = Integer.parseInt(sent.header("X-Remaining-Ms"));
-            assertTrue(remainingMillis > 0 && remainingMillis <= 9000, "waits " + remainingMillis);
+            assertTrue(remainingMillis > 0 && remainingMillis <= 9000, "X-Remaining-Ms is " + remainingMillis);
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/IdleConnectionsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/IdleConnectionsTest.java
@@ -13,12 +13,12 @@
 
 class IdleConnectionsTest {
     private static final long IDLE_TIMEOUT_MICROS = 1_000;
-    private static final long STALL_MICROS = 3_600_000_000L;
+    private static final long STALL_TIMEOUT_MICROS = 3_600_000_000L;
 
     private final IdleConnections connections = new IdleConnections();
 
     private UpstreamConnection add(long idleSinceMicros, long reusableAtMicros) {
-        UpstreamConnection connection = UpstreamConnection.install(new EmbeddedChannel(), STALL_MICROS);
+        UpstreamConnection connection = UpstreamConnection.install(new EmbeddedChannel(), STALL_TIMEOUT_MICROS);
         connection.becomeIdle(idleSinceMicros, reusableAtMicros);
         connections.add(connection);
         return connection;
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theMostRecentlyUsedConnectionIsTakenFirst() {
+    void takesMostRecentlyUsedConnectionFirst() {
         UpstreamConnection earlier = add(10, 0);
         UpstreamConnection later = add(20, 0);
         assertSame(later, take(30));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aConnectionIsNotTakenBeforeWhatCameDuringItsReuseDelayWasRead() {
+    void takesConnectionOnlyAfterReadFollowingReuseDelay() {
         UpstreamConnection reusable = add(10, 15);
         UpstreamConnection delayed = add(20, 40);
         assertSame(reusable, connections.take(50, 39, IDLE_TIMEOUT_MICROS));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void connectionsIdleForTooLongAreClosedInsteadOfTaken() {
+    void closesConnectionAfterIdleTimeout() {
         UpstreamConnection expired = add(10, 0);
         assertNull(take(10 + IDLE_TIMEOUT_MICROS));
         assertFalse(expired.channel().isOpen());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aConnectionWithUnexpectedDataIsNotTaken() {
+    void closesConnectionWithUnexpectedData() {
         UpstreamConnection connection = add(10, 0);
         ((EmbeddedChannel) connection.channel())
                 .writeInbound(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nConte", StandardCharsets.US_ASCII));
@@ -64,19 +64,19 @@
     }
 
     @Test
-    void theSweepClosesWhatIsUnusableAndKeepsTheRest() {
+    void closesOnlyUnusableConnections() {
         UpstreamConnection expired = add(10, 0);
-        UpstreamConnection lost = add(500, 0);
-        UpstreamConnection kept = add(600, 0);
-        lost.close();
+        UpstreamConnection closed = add(500, 0);
+        UpstreamConnection usable = add(600, 0);
+        closed.close();
         connections.closeUnusable(10 + IDLE_TIMEOUT_MICROS, IDLE_TIMEOUT_MICROS);
         assertFalse(expired.channel().isOpen());
-        assertSame(kept, take(700));
+        assertSame(usable, take(700));
         assertTrue(connections.isEmpty());
     }
 
     @Test
-    void theConnectionUsedLeastRecentlyIsTheOldest() {
+    void closesLeastRecentlyUsedConnection() {
         UpstreamConnection oldest = add(10, 0);
         UpstreamConnection newest = add(20, 0);
         assertEquals(10, connections.oldestIdleSinceMicros());
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -24,16 +24,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections and the endpoint list; all calls of the pool run on one event loop, as in the program. */
+/**
+ * Tests connections under changes of the endpoint list. As in production, the pool is called only on its event loop.
+ */
 @Timeout(60)
 class UpstreamConnectionPoolTest {
-    private static final long IDLE_MICROS = 15_000_000;
+    private static final long ENDPOINT_IDLE_TIMEOUT_MICROS = 15_000_000;
     private static final long HOUR_MICROS = 3_600_000_000L;
-    private static final long STALL_MICROS = 20_000;
+    private static final long STALL_TIMEOUT_MICROS = 20_000;
     private static final long NO_REUSE_DELAY = 0;
 
     private static final StubServer.Script SILENT = (request, connection) -> {};
-    private static final StubServer.Script RESPONDS = (request, connection) -> connection.respond("200 OK", "", "body");
+    private static final StubServer.Script RESPONDING =
+            (request, connection) -> connection.respond("200 OK", "", "body");
 
     private final MonotonicClock clock = new MonotonicClock();
     private final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(clock);
@@ -41,19 +44,19 @@
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void shutDownEventLoop() {
         eventLoop.shutDown();
     }
 
-    private UpstreamConnectionPool newPool(long idleTimeoutMicros, int maxConnections) throws Exception {
-        return newPool(idleTimeoutMicros, maxConnections, NO_REUSE_DELAY);
+    private UpstreamConnectionPool newPool(long endpointIdleTimeoutMicros, int maxConnections) throws Exception {
+        return newPool(endpointIdleTimeoutMicros, maxConnections, NO_REUSE_DELAY);
     }
 
-    private UpstreamConnectionPool newPool(long idleTimeoutMicros, int maxConnections, long reuseDelayMicros)
+    private UpstreamConnectionPool newPool(long endpointIdleTimeoutMicros, int maxConnections, long reuseDelayMicros)
             throws Exception {
         return loop.submit(() -> new UpstreamConnectionPool(
                         eventLoop,
-                        new UpstreamTimeouts(idleTimeoutMicros, 2_000_000, STALL_MICROS),
+                        new UpstreamTimeouts(endpointIdleTimeoutMicros, 2_000_000, STALL_TIMEOUT_MICROS),
                         reuseDelayMicros,
                         () -> maxConnections,
                         new TrafficStatistics()))
@@ -94,21 +97,22 @@
     }
 
     /**
-     * Nothing is written on a connection that comes up after its endpoint has drained, restarted or been removed. The
-     * change falls into the same iteration of the loop as the call, so that the connection can't be up before it.
+     * A request must not be written on a connection that is established after its endpoint started to drain, restarted,
+     * moved or was removed. The change is made in the same iteration of the event loop as the call, so the connection
+     * can't be established before the change.
      */
     @Test
-    void nothingIsSentToAnEndpointThatChangedWhileItsConnectionCameUp() throws Exception {
-        try (StubServer server = new StubServer(RESPONDS);
-                StubServer moved = new StubServer(RESPONDS)) {
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
+    void doesNotSendToEndpointThatChangedDuringConnect() throws Exception {
+        try (StubServer server = new StubServer(RESPONDING);
+                StubServer otherServer = new StubServer(RESPONDING)) {
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100);
             EndpointList ready = list(true, ready("u", server));
             for (EndpointList change : new EndpointList[] {
                 list(false, SidecarFixture.entry("u", server.address(), "Terminating", 0)),
                 list(false, SidecarFixture.entry("u", server.address(), "Gone", 0)),
                 list(false, SidecarFixture.entry("u", server.address(), "Ready", 5_000_000)),
-                list(false, ready("u", moved)),
-                list(true, ready("other", moved))
+                list(false, ready("u", otherServer)),
+                list(true, ready("other", otherServer))
             }) {
                 loop.execute(() -> {
                     pool.updateEndpoints(ready);
@@ -117,15 +121,15 @@
                 });
                 assertEquals("u NOT_SENT", nextOutcome());
             }
-            assertTrue(server.messages.isEmpty() && moved.messages.isEmpty(), "a request was sent");
+            assertTrue(server.messages.isEmpty() && otherServer.messages.isEmpty(), "a request was sent");
         }
     }
 
-    /** The same endpoint listed again, as in every full snapshot, is no change. */
+    /** Each full snapshot lists unchanged endpoints again. Their connections must stay open. */
     @Test
-    void anUnchangedListKeepsTheConnections() throws Exception {
-        try (StubServer server = new StubServer(RESPONDS)) {
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
+    void keepsConnectionsAfterUnchangedList() throws Exception {
+        try (StubServer server = new StubServer(RESPONDING)) {
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
                     pool.updateEndpoints(list(true, ready("u", server)));
@@ -137,26 +141,26 @@
         }
     }
 
-    /** An endpoint closes idle connections without notice; a request written to one would end as a reset. */
+    /** An endpoint closes idle connections without notice. A request on such a connection would end as a reset. */
     @Test
-    void idleConnectionsAreClosedBeforeTheEndpointDoesSo() throws Exception {
-        try (StubServer server = new StubServer(RESPONDS)) {
+    void closesIdleConnectionsBeforeEndpointDoes() throws Exception {
+        try (StubServer server = new StubServer(RESPONDING)) {
             UpstreamConnectionPool pool = newPool(1, 100);
             update(pool, list(true, ready("u", server)));
             for (int i = 0; i < 2; i++) {
                 assertEquals("u OK", outcomeOfCall(pool, "u"));
             }
             assertEquals(-1, server.accepted.take().getInputStream().read());
-            assertEquals(1, server.accepted.size(), "the second call did not open a connection of its own");
+            assertEquals(1, server.accepted.size(), "the second call did not open a new connection");
         }
     }
 
-    /** At the limit an idle connection to another endpoint is closed; where there is none nothing is sent. */
+    /** At the limit, an idle connection to another endpoint is closed. If there is none, the request is not sent. */
     @Test
-    void connectionsStayWithinTheirLimit() throws Exception {
-        try (StubServer idle = new StubServer(RESPONDS);
+    void limitsOpenConnections() throws Exception {
+        try (StubServer idle = new StubServer(RESPONDING);
                 StubServer silent = new StubServer(SILENT)) {
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 1);
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 1);
             update(pool, list(true, ready("idle", idle), ready("silent", silent)));
             assertEquals("idle OK", outcomeOfCall(pool, "idle"));
             start(pool, "silent");
@@ -166,12 +170,12 @@
         }
     }
 
-    /** Many clients need descriptors: an idle connection is closed for them, one in use is not. */
+    /** Idle connections are closed to free file descriptors for clients. Connections in use must stay open. */
     @Test
-    void anIdleConnectionCanBeClosedForRoomAndOneInUseCannot() throws Exception {
-        try (StubServer idle = new StubServer(RESPONDS);
+    void closesOldestIdleConnectionButNoneInUse() throws Exception {
+        try (StubServer idle = new StubServer(RESPONDING);
                 StubServer silent = new StubServer(SILENT)) {
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 2);
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 2);
             update(pool, list(true, ready("idle", idle), ready("silent", silent)));
             assertEquals("idle OK", outcomeOfCall(pool, "idle"));
             start(pool, "silent");
@@ -183,14 +187,14 @@
         }
     }
 
-    /** A connection that never came up must not count: a crashed endpoint would use up the limit otherwise. */
+    /** A connection that was never established must not count. Otherwise a crashed endpoint would use up the limit. */
     @Test
-    void failedConnectionsDoNotCount() throws Exception {
+    void doesNotCountFailedConnections() throws Exception {
         try (StubServer server = new StubServer(
                         (request, connection) -> connection.respond("200 OK", "Connection: close\r\n", ""));
                 StubServer gone = new StubServer(SILENT)) {
             gone.close();
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 1);
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 1);
             update(pool, list(true, ready("u", server), ready("gone", gone)));
             for (int i = 0; i < 3; i++) {
                 assertEquals("gone CONNECT_FAILED", outcomeOfCall(pool, "gone"));
@@ -200,10 +204,10 @@
         }
     }
 
-    /** Endpoints are replaced under ever new ids: removed ones must not pile up, also where only deltas come. */
+    /** Replacements of endpoints have new ids. Removed endpoints must not accumulate, even if all lists are deltas. */
     @Test
-    void removedEndpointsAreForgotten() throws Exception {
-        UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
+    void doesNotAccumulateRemovedEndpoints() throws Exception {
+        UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100);
         int endpoints = loop.submit(() -> {
                     for (int i = 0; i < 50; i++) {
                         pool.updateEndpoints(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
@@ -215,14 +219,14 @@
         assertEquals(0, endpoints);
     }
 
-    /** A connection that the endpoint closed while it was idle must cost the next call nothing. */
+    /** A connection that the endpoint closed while it was idle must not make the next call fail. */
     @Test
-    void aConnectionClosedWhileIdleIsNotReused() throws Exception {
+    void doesNotReuseConnectionClosedWhileIdle() throws Exception {
         try (StubServer server = new StubServer((request, connection) -> {
             connection.respond("200 OK", "", "sent");
             connection.socket().close();
         })) {
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100);
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100);
             update(pool, list(true, ready("u", server)));
             for (int i = 0; i < 5; i++) {
                 assertEquals("u OK", outcomeOfCall(pool, "u"));
@@ -235,11 +239,12 @@
     }
 
     /**
-     * An endpoint may respond twice, the second time some milliseconds later. On a connection that was reused by then
-     * the second response would be taken for the next request's: here it comes after that has reached the endpoint.
+     * An endpoint may send a response twice, some milliseconds apart. If the connection has been reused in between, the
+     * duplicate is mistaken for the response to the next request. Here the duplicate is sent after the next request has
+     * reached the endpoint.
      */
     @Test
-    void aLateDuplicateResponseIsServedToNobody() throws Exception {
+    void doesNotServeLateDuplicateResponse() throws Exception {
         BlockingQueue<StubServer.Connection> connections = new LinkedBlockingQueue<>();
         try (StubServer server = new StubServer((request, connection) -> {
             connections.add(connection);
@@ -250,18 +255,18 @@
                 connection.respond("500 Own", "", "");
             }
         })) {
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100, HOUR_MICROS);
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100, HOUR_MICROS);
             update(pool, list(true, ready("u", server)));
             assertEquals("u OK", outcomeOfCall(pool, "u"));
-            assertEquals("u ERROR", outcomeOfCall(pool, "u"), "another request's response was taken");
+            assertEquals("u ERROR", outcomeOfCall(pool, "u"), "the response to another request was accepted");
         }
     }
 
-    /** Most requests would begin with a handshake otherwise. */
+    /** Otherwise most requests would need a new connection and its handshake. */
     @Test
-    void aConnectionIsReusedAfterTheReuseDelay() throws Exception {
-        try (StubServer server = new StubServer(RESPONDS)) {
-            UpstreamConnectionPool pool = newPool(IDLE_MICROS, 100, 1_000);
+    void reusesConnectionAfterReuseDelay() throws Exception {
+        try (StubServer server = new StubServer(RESPONDING)) {
+            UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100, 1_000);
             update(pool, list(true, ready("u", server)));
             for (int calls = 0; server.accepted.size() == calls; calls++) {
                 assertEquals("u OK", outcomeOfCall(pool, "u"));
@@ -269,12 +274,12 @@
         }
     }
 
-    /** No endpoint can have served a request whose last byte is not written. */
+    /** An endpoint can't have served a request whose last byte has not been written. */
     @Test
-    void aResponseToAnUnwrittenRequestIsAFailureToConnect() {
+    void reportsConnectFailureForResponseToUnwrittenRequest() {
         for (String status : new String[] {"200 OK", "500 No"}) {
             EmbeddedChannel channel = new EmbeddedChannel();
-            UpstreamConnection.install(channel, STALL_MICROS)
+            UpstreamConnection.install(channel, STALL_TIMEOUT_MICROS)
                     .begin(newCall("u"), (call, connection) -> connection.close());
             channel.writeInbound(Unpooled.copiedBuffer(
                     "HTTP/1.1 " + status + "\r\nContent-Length: 2\r\n\r\nok", StandardCharsets.US_ASCII));
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamEndpointsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamEndpointsTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void anUnchangedEntryKeepsTheEndpoint() {
+    void keepsEndpointOfUnchangedEntry() {
         applyDelta(entry("a", 1, 0, EndpointState.READY));
         UpstreamEndpoint endpoint = endpoints.get("a");
         applyFullSnapshot(entry("a", 1, 0, EndpointState.READY));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void anotherAddressOrStartIsAnotherProcessAndEndsTheOneBefore() {
+    void replacesProcessAfterNewAddressOrStartTime() {
         applyDelta(entry("a", 1, 0, EndpointState.READY));
         UpstreamEndpoint first = endpoints.get("a");
         applyDelta(entry("a", 2, 0, EndpointState.READY));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aDrainingEndpointStaysButIsNotReady() {
+    void keepsDrainingEndpointAsNotReady() {
         applyDelta(entry("a", 1, 0, EndpointState.READY));
         assertTrue(endpoints.hasReady());
         applyDelta(entry("a", 1, 0, EndpointState.DRAINING));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aFullSnapshotRemovesWhatItDoesNotListAndADeltaDoesNot() {
+    void removesUnlistedEndpointsOnlyAfterFullSnapshot() {
         applyDelta(entry("a", 1, 0, EndpointState.READY));
         UpstreamEndpoint unlisted = endpoints.get("a");
         applyDelta(entry("b", 2, 0, EndpointState.READY));
