--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -8,9 +8,9 @@
 import picocli.CommandLine;
 
 /**
- * The command line. {@code serve} runs a sidecar, {@code simulator} hosts decision modules on the simulator's wire,
- * {@code fleet-cost} measures what fleets cost in processor time, memory and messages. The exit status is 2 for an
- * invalid command line, else that of the command.
+ * The command line. {@code serve} runs a sidecar, {@code simulator} hosts decision modules that a simulator drives over
+ * standard input and output, and {@code fleet-cost} measures the processor time, memory and messages that fleets use.
+ * The exit status is 2 if the command line is invalid, otherwise that of the command.
  */
 public final class Main {
     private static final String SERVE = "serve";
--- a/src/main/java/loadbalancer/package-info.java
+++ b/src/main/java/loadbalancer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: starts a sidecar, the simulator host or the fleet cost measurement. Owns nothing else; the parts
- * are in the packages below, and {@code docs/ARCHITECTURE.md} says how they work together.
+ * The command line, which starts a sidecar, the simulator host or the fleet cost measurement. All other code is in the
+ * packages below; {@code docs/ARCHITECTURE.md} describes how they work together.
  */
 package loadbalancer;
--- a/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
@@ -9,43 +9,45 @@
 import loadbalancer.settings.RequestLimits;
 
 /**
- * Checks the settings of a reload before they replace those in force. Messages use the names of the configuration file.
- * The settings of a start are not checked here, because no running service could be damaged by them. Stateless.
+ * Checks reloaded settings before they replace the current ones. Messages use the names of the configuration file. The
+ * settings that a sidecar starts with are not checked here, because at that time they can't harm a running service.
+ * Stateless.
  */
 final class SettingsValidator {
     private SettingsValidator() {}
 
     /**
-     * Checks settings against their ranges and against those in force.
+     * Checks that the reloaded settings are within their ranges and that a reload can change the current settings to
+     * them.
      *
-     * @throws ConfigurationException naming the first setting that is out of range or can't be changed by a reload
+     * @throws ConfigurationException if a setting is out of range or can't be changed by a reload; names the first one
      */
-    static void validate(LoadBalancerSettings reloaded, LoadBalancerSettings inForce) throws ConfigurationException {
+    static void validate(LoadBalancerSettings reloaded, LoadBalancerSettings current) throws ConfigurationException {
         require(
-                reloaded.polledDiscovery() == inForce.polledDiscovery(),
-                "'discovery' can't change while it runs: restart the sidecar to change it");
+                reloaded.polledDiscovery() == current.polledDiscovery(),
+                "'discovery' can't be changed by a reload; restart the sidecar to change it");
         require(
                 reloaded.sidecarCount() >= 1
                         && reloaded.sidecarIndex() >= 0
                         && reloaded.sidecarIndex() < reloaded.sidecarCount(),
-                "'me' is not one of 'balancers': it must be from 0 to 'balancers' - 1");
+                "'me' or 'balancers' is out of range: 'balancers' must be at least 1, 'me' from 0 to 'balancers' - 1");
         validateRequestClasses(reloaded.requestClasses());
         validateEndpointRules(reloaded.rules());
         validateLimits(reloaded.limits());
     }
 
     private static void validateRequestClasses(List<RequestClass> requestClasses) throws ConfigurationException {
-        require(!requestClasses.isEmpty(), "'profiles' is empty: at least one is needed");
+        require(!requestClasses.isEmpty(), "'profiles' is empty: it must have at least one entry");
         Set<String> names = new HashSet<>();
         for (RequestClass requestClass : requestClasses) {
             String name = "'" + requestClass.name() + "'";
-            require(names.add(requestClass.name()), "'profiles' names " + name + " twice");
+            require(names.add(requestClass.name()), "'profiles' contains the name " + name + " twice");
             require(
                     requestClass.latencyObjectiveMicros() > 0 && requestClass.deadlineMicros() > 0,
-                    "'profiles' leaves " + name + " no time: 'objective_us' and 'give_up_us' must be above 0");
+                    "'profiles': " + name + " is out of range: 'objective_us' and 'give_up_us' must be above 0");
             require(
                     requestClass.priorityWeight() > 0,
-                    "'profiles' gives " + name + " no weight: 'importance' must be above 0");
+                    "'profiles': " + name + " is out of range: 'importance' must be above 0");
         }
     }
 
@@ -57,7 +59,7 @@
                         && rules.overloadMultiple() > 0
                         && rules.overloadWindowMicros() > 0
                         && rules.drainGraceMicros() >= 0,
-                "'rules' are out of their ranges: 'cold_share' must be above 0 and at most 1, 'fall_multiple' and"
+                "'rules' has a value out of range: 'cold_share' must be above 0 and at most 1, 'fall_multiple' and"
                         + " 'fall_us' above 0, 'ramp_time_us' and 'drain_grace_us' at least 0");
     }
 
@@ -66,7 +68,7 @@
                 limits.maxAttempts() >= 1
                         && limits.connectTimeoutMicros() > 0
                         && limits.connectionIdleTimeoutMicros() > 0,
-                "'limits' are out of their ranges: 'max_attempts' must be at least 1, 'dial_timeout_us' and"
+                "'limits' has a value out of range: 'max_attempts' must be at least 1, 'dial_timeout_us' and"
                         + " 'conn_idle_us' above 0");
     }
 
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfiguration.java
@@ -11,15 +11,15 @@
  * The configuration of one sidecar, as {@link SidecarConfigurationReader} reads it. Immutable.
  *
  * @param name the sidecar's name, for the log
- * @param listenAddress where clients connect
- * @param discoveryAddress where the endpoint list is fetched from
+ * @param listenAddress the address that clients connect to
+ * @param discoveryAddress the address of the discovery service, which sends the endpoint list
  * @param seed the seed of the load balancer's random choices
- * @param descriptorLimit how many file descriptors the process may have open
- * @param gossipListenAddress where datagrams from other sidecars are received; null without gossip
- * @param gossipPeers the addresses of all sidecars, in the order of their indices; empty without gossip
+ * @param descriptorLimit the maximum number of file descriptors that the process may have open
+ * @param gossipListenAddress the address that receives datagrams from other sidecars; null without gossip
+ * @param gossipPeers the addresses of all sidecars, in the order of their indexes; empty without gossip
  * @param gossipBroadcastAddress the address that reaches all sidecars; null if there is none
- * @param initialEndpoints the endpoint list from before this start, which may be outdated
- * @param settingsText the flattened names and values that {@code settings} was read from; used to detect changes
+ * @param initialEndpoints the endpoint list that was known before this start and may be outdated
+ * @param flattenedSettings the paths and values that {@code settings} was read from; used to detect changes
  * @param settings the settings of the load balancer
  */
 public record SidecarConfiguration(
@@ -32,10 +32,13 @@
         List<InetSocketAddress> gossipPeers,
         InetSocketAddress gossipBroadcastAddress,
         EndpointList initialEndpoints,
-        Map<String, String> settingsText,
+        Map<String, String> flattenedSettings,
         LoadBalancerSettings settings) {
 
-    /** Returns the limits that an operator checks against the needs of a deployment, as keys and values for the log. */
+    /**
+     * Returns the descriptor limit and the time limits of each request class, as keys and values for the log. Operators
+     * compare them with the needs of a deployment.
+     */
     public String describeLimits() {
         StringBuilder limits = new StringBuilder("descriptor_limit=").append(descriptorLimit);
         for (RequestClass requestClass : settings.requestClasses()) {
@@ -49,20 +52,22 @@
         return limits.toString();
     }
 
-    /** A copy with other addresses and endpoints, and without gossip. */
+    /** Returns a copy with other addresses and endpoints, and without gossip. */
     public SidecarConfiguration forWarmUp(
-            InetSocketAddress warmUpListenAddress, InetSocketAddress warmUpDiscovery, EndpointList warmUpEndpoints) {
+            InetSocketAddress warmUpListenAddress,
+            InetSocketAddress warmUpDiscoveryAddress,
+            EndpointList warmUpEndpoints) {
         return new SidecarConfiguration(
                 name,
                 warmUpListenAddress,
-                warmUpDiscovery,
+                warmUpDiscoveryAddress,
                 seed,
                 descriptorLimit,
                 null,
                 List.of(),
                 null,
                 warmUpEndpoints,
-                settingsText,
+                flattenedSettings,
                 settings);
     }
 }
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
@@ -17,8 +17,8 @@
 
 /**
  * Reads the configuration file and the environment variables that override it. This is the only class that knows the
- * names of the file's fields, apart from those of its settings, and of the variables. Blocks while it reads the file,
- * so it must not be called on an event loop.
+ * names of these variables and of the fields of the file, except the names of the load balancer settings. It blocks
+ * while it reads the file, so it must not be called on an event loop.
  */
 public final class SidecarConfigurationReader {
     private static final String FILE_VARIABLE = "BALANCER_CONFIG";
@@ -50,14 +50,14 @@
     }
 
     /**
-     * Reads the configuration for a start.
+     * Reads the configuration that a sidecar starts with.
      *
      * @throws ConfigurationException if the file can't be read or a field is missing or malformed
      */
     public static SidecarConfiguration read(Map<String, String> environment) throws ConfigurationException {
-        byte[] text = readFile(environment);
+        byte[] json = readFile(environment);
         try {
-            return new SidecarConfigurationReader(JsonObject.parse(text), environment).configuration();
+            return new SidecarConfigurationReader(JsonObject.parse(json), environment).configuration();
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException("configuration: " + e.getMessage());
         } catch (InvalidSettingsException e) {
@@ -66,17 +66,17 @@
     }
 
     /**
-     * Reads the configuration for a running sidecar. The discovery address is taken from the file even if the
-     * environment sets one, because a reload can't change the environment.
+     * Reads the configuration again for a running sidecar. The discovery address is taken from the file even if the
+     * environment sets one, because the environment of a running process can't be changed.
      *
-     * @throws ConfigurationException as for {@link #read}, or if the settings can't replace those in force
+     * @throws ConfigurationException as for {@link #read}, or if the settings can't replace the current ones
      */
-    public static SidecarConfiguration reload(Map<String, String> environment, LoadBalancerSettings inForce)
+    public static SidecarConfiguration reload(Map<String, String> environment, LoadBalancerSettings currentSettings)
             throws ConfigurationException {
-        Map<String, String> withoutDiscovery = new HashMap<>(environment);
-        withoutDiscovery.remove(DISCOVERY_VARIABLE);
-        SidecarConfiguration reloaded = read(withoutDiscovery);
-        SettingsValidator.validate(reloaded.settings(), inForce);
+        Map<String, String> environmentWithoutDiscovery = new HashMap<>(environment);
+        environmentWithoutDiscovery.remove(DISCOVERY_VARIABLE);
+        SidecarConfiguration reloaded = read(environmentWithoutDiscovery);
+        SettingsValidator.validate(reloaded.settings(), currentSettings);
         return reloaded;
     }
 
@@ -84,7 +84,7 @@
         String path = environment.get(FILE_VARIABLE);
         if (path == null || path.isEmpty()) {
             throw new ConfigurationException(
-                    FILE_VARIABLE + " is not set: it must hold the path of the configuration file");
+                    FILE_VARIABLE + " is not set: it must be the path of the configuration file");
         }
         try {
             return Files.readAllBytes(Path.of(path));
@@ -94,8 +94,8 @@
     }
 
     private SidecarConfiguration configuration() {
-        Map<String, String> settingsText = file.object(SETTINGS).flattened();
-        LoadBalancerSettings settings = new SettingsReader(settingsText).read();
+        Map<String, String> flattenedSettings = file.object(SETTINGS).flattened();
+        LoadBalancerSettings settings = new SettingsReader(flattenedSettings).read();
         return new SidecarConfiguration(
                 environment.getOrDefault(NAME_VARIABLE, file.textOr(NAME, DEFAULT_NAME)),
                 address(LISTEN_VARIABLE, LISTEN_ADDRESS),
@@ -106,7 +106,7 @@
                 gossipPeers(),
                 addressOrNull(GOSSIP_BROADCAST_ADDRESS),
                 initialEndpoints(),
-                settingsText,
+                flattenedSettings,
                 settings);
     }
 
@@ -134,8 +134,8 @@
     }
 
     private InetSocketAddress address(String variable, String field) {
-        String overriding = environment.get(variable);
-        return overriding == null ? parseAddress(field, file.text(field)) : parseAddress(variable, overriding);
+        String override = environment.get(variable);
+        return override == null ? parseAddress(field, file.text(field)) : parseAddress(variable, override);
     }
 
     private InetSocketAddress addressOrNull(String field) {
@@ -146,7 +146,8 @@
         try {
             return EndpointList.parseAddress(text);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("'" + source + "' is no address: '" + text + "'");
+            throw new IllegalArgumentException(
+                    "'" + source + "' must be an IP address and port, as in 127.0.0.1:80, but is '" + text + "'");
         }
     }
 
@@ -155,7 +156,8 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'" + SEED + "' is no hexadecimal number: '" + text + "'");
+            throw new IllegalArgumentException(
+                    "'" + SEED + "' must be a hexadecimal number of at most 64 bits, but is '" + text + "'");
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/configuration/package-info.java
+++ b/src/main/java/loadbalancer/proxy/configuration/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The configuration of a sidecar: the file, the environment variables that override it, and the checks before a reload.
- * Owns the names of the file's fields and of the variables. Does not hold the configuration in force or act on a
- * change.
+ * Reads the configuration of a sidecar from the file and the environment variables that override it, and checks the
+ * settings of a reload. Defines the names of the fields and variables. Does not hold the current configuration or apply
+ * changes to it.
  */
 package loadbalancer.proxy.configuration;
--- a/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * Creates Netty bootstraps for outgoing connections. Addresses must already be resolved, because host names are never
- * looked up. Stateless.
+ * Creates Netty bootstraps for outgoing connections. Addresses must be resolved already, because the bootstraps don't
+ * look up host names. Stateless.
  */
 public final class ClientBootstraps {
     private ClientBootstraps() {}
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -3,24 +3,24 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * Collects what explains why the event loop was late: its longest task, and for each thread of the process how long it
- * ran and how long it waited for a processor. Thread times are read only when there is something to report. Confined to
- * the event loop.
+ * Reports why the event loop was late: the name and duration of its longest task, and for each thread of the process
+ * how long it ran and how long it waited for a processor. To save time, the thread times are read only for a report and
+ * when the period that a report covers begins. Confined to the event loop.
  */
 public final class EventLoopMonitor {
-    /** A greater lag is reported. */
+    /** The event loop is reported as late if its lag exceeds this time. */
     private static final long LATE_MICROS = 100_000;
-    /** At most one report in this time, because a report itself takes time on a loop that is already late. */
+    /** Shortest time between two reports, because a report itself takes time on a loop that is already late. */
     private static final long MIN_REPORT_INTERVAL_MICROS = 1_000_000;
 
-    private static final String NO_TASK = "none";
+    private static final String NO_TASK_NAME = "none";
 
     private final MonotonicClock clock;
-    /** The thread times that the next report is compared with; null before {@link #start}. */
+    /** The thread times at the beginning of the period that the next report covers; null before {@link #start}. */
     private ThreadTimes baseline;
 
     private long baselineMicros;
-    private String longestTask = NO_TASK;
+    private String longestTaskName = NO_TASK_NAME;
     private long longestTaskMicros;
     private long lastReportMicros;
 
@@ -28,32 +28,34 @@
         this.clock = clock;
     }
 
-    /** Starts reporting. The first report covers the thread times from now on. */
+    /** Starts reporting. The period that the first report covers begins now. */
     public void start() {
         baseline = ThreadTimes.read();
         baselineMicros = clock.nowMicros();
     }
 
-    /** Makes the next report cover the thread times from now on. Must not be called before {@link #start}. */
+    /** Lets the period that the next report covers begin now. Must not be called before {@link #start}. */
     public void resetBaseline() {
         baseline = baseline.readAgain();
         baselineMicros = clock.nowMicros();
     }
 
-    /** Records that a task, which began at {@code startMicros}, has finished. */
-    public void taskFinished(String task, long startMicros) {
+    /** Records that the task with this name, which began at {@code startMicros}, has finished. */
+    public void taskFinished(String taskName, long startMicros) {
         long durationMicros = clock.nowMicros() - startMicros;
         if (durationMicros > longestTaskMicros) {
             longestTaskMicros = durationMicros;
-            longestTask = task;
+            longestTaskName = taskName;
         }
     }
 
     /**
-     * Ends the interval in which the longest task is determined, and begins the next one.
+     * Checks whether the event loop was late. Also ends the interval over which the longest task is determined, and
+     * begins the next interval.
      *
-     * @param lagMicros how late the calling periodic task was
-     * @return a line for the log; null if the loop was not late, or the last report was less than a second ago
+     * @param lagMicros how late the periodic task that calls this method was run
+     * @return a line for the log, or null if the loop was not late, the last report was less than a second ago, or
+     *     reporting has not started
      */
     public String checkLag(long lagMicros) {
         String line = null;
@@ -62,7 +64,7 @@
                 && clock.nowMicros() - lastReportMicros > MIN_REPORT_INTERVAL_MICROS) {
             line = report(lagMicros);
         }
-        longestTask = NO_TASK;
+        longestTaskName = NO_TASK_NAME;
         longestTaskMicros = 0;
         return line;
     }
@@ -71,7 +73,7 @@
         lastReportMicros = clock.nowMicros();
         ThreadTimes current = baseline.readAgain();
         String line = "event_loop_late lag_millis=" + lagMicros / 1000 + " longest_task="
-                + SidecarLog.quote(longestTask) + " longest_task_millis=" + longestTaskMicros / 1000
+                + SidecarLog.quote(longestTaskName) + " longest_task_millis=" + longestTaskMicros / 1000
                 + " window_millis=" + (lastReportMicros - baselineMicros) / 1000 + current.describeSince(baseline);
         baseline = current;
         baselineMicros = lastReportMicros;
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -7,10 +7,10 @@
 import loadbalancer.decision.LoadBalancerActions;
 
 /**
- * Holds the load balancer and makes all calls to it, one at a time. The actions that the load balancer takes during a
- * call are carried out after the call has returned; calls that result from these actions are made after all of them. So
- * the load balancer is never re-entered. If a call or an action throws, that is logged and what follows it is still
- * run. Confined to the event loop.
+ * Holds the load balancer and makes all calls to it, one at a time. The actions that the load balancer orders during a
+ * call are carried out after the call has returned; calls that result from these actions are made after the last of
+ * them. So the load balancer is never re-entered. If a call or an action throws, the failure is logged and the
+ * remaining calls and actions are run. Confined to the event loop.
  */
 public final class LoadBalancerExecutor {
     private final ArrayDeque<Runnable> calls = new ArrayDeque<>();
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Creates the load balancer, which may already take actions in its constructor. {@code actionHandler} carries out
+     * Creates the load balancer, which may already order actions in its constructor. {@code actionHandler} carries out
      * all of its actions.
      */
     public void start(Function<LoadBalancerActions, LoadBalancer> factory, LoadBalancerActions actionHandler) {
@@ -35,11 +35,11 @@
     }
 
     /**
-     * Makes a call to the load balancer: at once, or after the call or action that is running. Must not be called
-     * before {@link #start}.
+     * Makes a call to the load balancer: at once if none is in progress, otherwise after the current call, its actions
+     * and the calls submitted earlier. Must not be called before {@link #start}.
      *
      * @param callName names the call in the log
-     * @param onFailure runs if the call throws, after the actions that it took before
+     * @param onFailure runs if the call throws, after the actions that the call ordered before it threw
      */
     public void submit(String callName, Consumer<LoadBalancer> call, Runnable onFailure) {
         calls.add(() -> {
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -13,28 +13,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A single-threaded event loop that knows when it last read all of its sockets. If the loop is late, a client's
+ * A single-threaded event loop that records when it last read all of its sockets. If the loop is late, a client's
  * disconnect may still be unread in one socket while an event from another socket starts an attempt for that client.
- * Therefore an attempt is started only after a recent read of all sockets ({@link #afterPendingReads}). This takes up
- * to {@link #MAX_POSTPONEMENTS} further iterations of the loop, but never blocks it.
+ * Therefore an attempt is started only after a recent read of all sockets ({@link #afterPendingReads}). Waiting for
+ * this read postpones the start by up to {@link #MAX_POSTPONEMENTS} iterations of the loop, but never blocks the loop.
  *
  * <p>{@link #clock}, {@link #nettyEventLoop} and {@link #shutDown} may be called from any thread, all other methods
  * only on the event loop.
  */
 public final class ReadTrackingEventLoop {
     /**
-     * How old the last read of all sockets may be when an attempt starts. An attempt may start up to 100 ms after its
-     * client's disconnect; this is a part of that.
+     * Maximum age of the last read of all sockets when an attempt starts. An attempt may start at most 100 ms after its
+     * client has disconnected; this age takes up a quarter of that time.
      */
     public static final long MAX_READ_AGE_MICROS = 25_000;
     /**
-     * How often starts are postponed because the last read is too old. Without a limit they would never happen if every
-     * iteration took longer than {@link #MAX_READ_AGE_MICROS}.
+     * Maximum number of times that an attempt's start is postponed because the last read is too old. Without this limit
+     * no attempt would start if every iteration took longer than {@link #MAX_READ_AGE_MICROS}.
      */
     private static final int MAX_POSTPONEMENTS = 2;
-    /** A smaller delay is within the normal inaccuracy of timers and counts as none. */
+    /** A lag below this time is within the normal inaccuracy of timers and counts as 0. */
     private static final long MIN_LAG_MICROS = 20_000;
-    /** The recent lag decreases by this fraction with each {@link #recordLag}: by half after about twenty calls. */
+    /**
+     * Each {@link #recordLag} subtracts from the recent lag its value divided by this number, which halves the recent
+     * lag after about twenty calls.
+     */
     private static final int LAG_DECAY_DIVISOR = 32;
 
     private static final long NO_DEADLINE = -1;
@@ -42,14 +45,14 @@
     private final MonotonicClock clock;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private final ArrayDeque<Runnable> pendingStarts = new ArrayDeque<>();
-    private boolean startScheduled;
+    private final ArrayDeque<Runnable> pendingAttemptStarts = new ArrayDeque<>();
+    private boolean attemptStartsScheduled;
     private int postponements;
     /** When the last read of all sockets began. */
     private long lastReadMicros;
     /**
-     * When the first timer of the current iteration was due, by the loop's own clock; {@link #NO_DEADLINE} if there was
-     * none.
+     * When the first timer of the current iteration was due, in nanoseconds of Netty's clock, or {@link #NO_DEADLINE}
+     * if no timer was set.
      */
     private long wakeUpDeadlineNanos = NO_DEADLINE;
 
@@ -70,47 +73,48 @@
         return loop;
     }
 
-    /** Ends the thread at once and closes all of its channels; pending timers don't run. */
+    /** Ends the thread of the loop at once and closes all of its channels. Pending timers do not run. */
     public void shutDown() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     /**
-     * Runs {@code start} after everything that the sockets contain now has been read and handled; on a loop that stays
-     * late, after {@link #MAX_POSTPONEMENTS} iterations in any case.
+     * Runs {@code attemptStart} after all data that the sockets contain now has been read and handled. If the loop
+     * stays late, runs it after {@link #MAX_POSTPONEMENTS} postponements in any case.
      */
-    public void afterPendingReads(Runnable start) {
-        pendingStarts.add(start);
-        if (!startScheduled) {
-            startScheduled = true;
-            // Netty reports a connection that was found closed in a separate task. Two steps let that task run first.
-            loop.execute(() -> loop.execute(this::runPendingStarts));
+    public void afterPendingReads(Runnable attemptStart) {
+        pendingAttemptStarts.add(attemptStart);
+        if (!attemptStartsScheduled) {
+            attemptStartsScheduled = true;
+            // When Netty finds a connection closed, it reports this in a separate task. The nested execute lets such a
+            // task run first.
+            loop.execute(() -> loop.execute(this::runPendingAttemptStarts));
         }
     }
 
-    private void runPendingStarts() {
+    private void runPendingAttemptStarts() {
         boolean readIsOld = clock.nowMicros() - lastReadMicros > MAX_READ_AGE_MICROS;
         if (readIsOld && postponements++ < MAX_POSTPONEMENTS) {
-            // Due at once, but the loop reads its sockets before it runs a new timer.
-            loop.schedule(this::runPendingStarts, 1, TimeUnit.NANOSECONDS);
+            // The new timer is due at once, but the loop reads its sockets before it runs the timer.
+            loop.schedule(this::runPendingAttemptStarts, 1, TimeUnit.NANOSECONDS);
             return;
         }
-        startScheduled = false;
+        attemptStartsScheduled = false;
         postponements = 0;
-        // Starts that are added meanwhile are left for the next round.
-        for (int remaining = pendingStarts.size(); remaining > 0; remaining--) {
-            FaultIsolation.run("attempt_start", pendingStarts.poll());
+        // Starts that are added during this loop are left for the next call.
+        for (int remaining = pendingAttemptStarts.size(); remaining > 0; remaining--) {
+            FaultIsolation.run("attempt_start", pendingAttemptStarts.poll());
         }
     }
 
-    /** When the last read of all sockets began. Everything that had arrived by then has been read. */
+    /** Returns when the last read of all sockets began. All data that had arrived by then has been read. */
     public long lastReadMicros() {
         return lastReadMicros;
     }
 
     /**
-     * By how many microseconds the loop is late for its timers; 0 if it is in time. Data that is read now may have
-     * waited in its socket for this long, which can't be found out from the socket.
+     * Returns by how many microseconds the loop is late for its timers, or 0 if it is on time. Data that is read now
+     * may have waited in its socket for this time; the socket itself does not tell when data arrived.
      */
     public long currentLagMicros() {
         if (wakeUpDeadlineNanos == NO_DEADLINE) {
@@ -120,75 +124,75 @@
         return lagMicros < MIN_LAG_MICROS ? 0 : lagMicros;
     }
 
-    /** Records by how much a periodic task ran late. Must be called by one periodic task, on each run. */
+    /** Records how late a periodic task was run. Must be called on each run of a single periodic task. */
     public void recordLag(long lagMicros) {
         recentLagMicros = Math.max(lagMicros, recentLagMicros - recentLagMicros / LAG_DECAY_DIVISOR);
     }
 
-    /** The largest recent lag in microseconds, which decays with each {@link #recordLag}. */
+    /** Returns the largest recent lag in microseconds, which decays with each {@link #recordLag}. */
     public long recentLagMicros() {
         return recentLagMicros;
     }
 
-    private IoHandlerFactory trackingFactory(IoHandlerFactory sockets) {
+    private IoHandlerFactory trackingFactory(IoHandlerFactory delegate) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
-                return new TrackingIoHandler(sockets.newHandler(executor));
+                return new TrackingIoHandler(delegate.newHandler(executor));
             }
 
             @Override
             public boolean isChangingThreadSupported() {
-                return sockets.isChangingThreadSupported();
+                return delegate.isChangingThreadSupported();
             }
         };
     }
 
-    /** Records when each read of all sockets began; everything else is delegated. */
+    /** Records when each read of all sockets began, and passes all calls on to the delegate. */
     private final class TrackingIoHandler implements IoHandler {
-        private final IoHandler sockets;
+        private final IoHandler delegate;
 
-        TrackingIoHandler(IoHandler sockets) {
-            this.sockets = sockets;
+        TrackingIoHandler(IoHandler delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public int run(IoHandlerContext context) {
             long startMicros = clock.nowMicros();
             wakeUpDeadlineNanos = context.deadlineNanos();
-            int handled = sockets.run(context);
+            int handled = delegate.run(context);
             lastReadMicros = startMicros;
             return handled;
         }
 
         @Override
         public void initialize() {
-            sockets.initialize();
+            delegate.initialize();
         }
 
         @Override
         public void prepareToDestroy() {
-            sockets.prepareToDestroy();
+            delegate.prepareToDestroy();
         }
 
         @Override
         public void destroy() {
-            sockets.destroy();
+            delegate.destroy();
         }
 
         @Override
         public IoRegistration register(IoHandle handle) throws Exception {
-            return sockets.register(handle);
+            return delegate.register(handle);
         }
 
         @Override
         public void wakeup() {
-            sockets.wakeup();
+            delegate.wakeup();
         }
 
         @Override
         public boolean isCompatible(Class<? extends IoHandle> type) {
-            return sockets.isCompatible(type);
+            return delegate.isCompatible(type);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
@@ -12,9 +12,9 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * How long each thread of this process has run and has waited for a processor, as Linux reports it in
- * {@code /proc/self/task/ID/schedstat}; empty if there are no such files. The JDK's management beans don't report that
- * wait, and loading them takes more than a tenth of the time of a start.
+ * A reading of how long each thread of this process has run and has waited for a processor. Linux reports both times in
+ * {@code /proc/self/task/ID/schedstat}; without such files the reading is empty. The JDK's management beans don't
+ * report the waiting time, and loading them takes more than a tenth of the startup time.
  */
 final class ThreadTimes {
     private static final File THREAD_DIRECTORY = new File("/proc/self/task");
@@ -26,31 +26,33 @@
         static final CpuTimes NONE = new CpuTimes(0, 0);
     }
 
+    /** The times of one thread between two readings. */
     private record Usage(String thread, long ranMillis, long waitedMillis) {
         long totalMillis() {
             return ranMillis + waitedMillis;
         }
     }
 
-    private final Map<String, CpuTimes> timesById = new HashMap<>();
-    /** Thread names by id, shared by successive readings, as threads don't change their names. */
-    private final Map<String, String> namesById;
+    private final Map<String, CpuTimes> timesByThreadId = new HashMap<>();
+    /** Thread names by thread id, shared by successive readings because threads don't change their names. */
+    private final Map<String, String> namesByThreadId;
 
-    private ThreadTimes(Map<String, String> namesById) {
-        this.namesById = namesById;
+    private ThreadTimes(Map<String, String> namesByThreadId) {
+        this.namesByThreadId = namesByThreadId;
     }
 
+    /** Reads the current times of all threads. */
     static ThreadTimes read() {
         return read(new HashMap<>());
     }
 
-    /** Reads the current times. The names of known threads are not read again. */
+    /** Reads the current times of all threads, but the names of new threads only. */
     ThreadTimes readAgain() {
-        return read(namesById);
+        return read(namesByThreadId);
     }
 
-    private static ThreadTimes read(Map<String, String> namesById) {
-        ThreadTimes times = new ThreadTimes(namesById);
+    private static ThreadTimes read(Map<String, String> namesByThreadId) {
+        ThreadTimes times = new ThreadTimes(namesByThreadId);
         String[] threadIds = THREAD_DIRECTORY.list();
         if (threadIds == null) {
             return times;
@@ -58,20 +60,20 @@
         for (String threadId : threadIds) {
             times.readThread(threadId);
         }
-        namesById.keySet().retainAll(times.timesById.keySet());
+        namesByThreadId.keySet().retainAll(times.timesByThreadId.keySet());
         return times;
     }
 
     private void readThread(String threadId) {
         try {
             String[] fields = readFile(threadId, "schedstat").split(" ");
-            timesById.put(threadId, new CpuTimes(Long.parseLong(fields[0]), Long.parseLong(fields[1])));
-            if (!namesById.containsKey(threadId)) {
-                namesById.put(threadId, readFile(threadId, "comm"));
+            timesByThreadId.put(threadId, new CpuTimes(Long.parseLong(fields[0]), Long.parseLong(fields[1])));
+            if (!namesByThreadId.containsKey(threadId)) {
+                namesByThreadId.put(threadId, readFile(threadId, "comm"));
             }
         } catch (IOException | NumberFormatException | IndexOutOfBoundsException e) {
-            // The thread ended while it was being read.
-            timesById.remove(threadId);
+            // The thread ended while its files were being read.
+            timesByThreadId.remove(threadId);
         }
     }
 
@@ -83,8 +85,8 @@
     }
 
     /**
-     * Describes the threads that ran or waited most since {@code earlier}, as keys and values with a space before each
-     * key.
+     * Returns the threads that ran or waited for the longest time since {@code earlier}, as keys and values for a log
+     * line with a space before each key.
      */
     String describeSince(ThreadTimes earlier) {
         StringBuilder text = new StringBuilder();
@@ -100,15 +102,15 @@
         return text.toString();
     }
 
-    /** The threads that ran or waited for at least 1 ms since {@code earlier}, the most active first. */
+    /** Returns the threads that ran or waited for at least 1 ms since {@code earlier}, longest total time first. */
     private List<Usage> usagesSince(ThreadTimes earlier) {
         List<Usage> usages = new ArrayList<>();
-        timesById.forEach((threadId, now) -> {
-            CpuTimes before = earlier.timesById.getOrDefault(threadId, CpuTimes.NONE);
+        timesByThreadId.forEach((threadId, current) -> {
+            CpuTimes previous = earlier.timesByThreadId.getOrDefault(threadId, CpuTimes.NONE);
             usages.add(new Usage(
-                    namesById.get(threadId),
-                    (now.ranNanos - before.ranNanos) / NANOS_PER_MILLI,
-                    (now.waitedNanos - before.waitedNanos) / NANOS_PER_MILLI));
+                    namesByThreadId.get(threadId),
+                    (current.ranNanos - previous.ranNanos) / NANOS_PER_MILLI,
+                    (current.waitedNanos - previous.waitedNanos) / NANOS_PER_MILLI));
         });
         usages.removeIf(usage -> usage.totalMillis() == 0);
         usages.sort(Comparator.comparingLong(Usage::totalMillis).reversed());
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -19,42 +19,45 @@
 
 /**
  * Sends and receives the gossip datagrams between sidecars. A peer is identified by its index in the configured list.
- * Datagrams from other senders are dropped, as are those that are too long. Delivery is not guaranteed, and nothing is
- * sent again.
+ * Datagrams from other senders and datagrams that are too long are dropped. Delivery is not guaranteed, and no datagram
+ * is sent again.
  *
- * <p>All methods but the constructor and {@link #listen} run on the event loop that owns the socket. Received buffers
- * are released by the handler, sent ones by Netty.
+ * <p>All methods except the constructor and {@link #listen} run on the event loop that owns the socket. The handler
+ * releases received buffers, and Netty releases the buffers that were sent.
  */
 public final class GossipTransport {
     private static final int MAX_DATAGRAM_BYTES = 256;
 
     private final MonotonicClock clock;
     private final LoadBalancerExecutor loadBalancerExecutor;
-    private final Map<InetSocketAddress, Integer> peerIndexes = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> peerIndexesByAddress = new HashMap<>();
     private List<InetSocketAddress> peers;
-    /** The address that reaches all peers; null if the configuration has none. */
-    private InetSocketAddress allPeers;
-    /** Null until {@link #listen} has returned; nothing is sent before. */
+    /** The address that reaches all peers; null if none is configured. */
+    private InetSocketAddress broadcastAddress;
+    /** Null until {@link #listen} has bound the socket; no datagram is sent before. */
     private Channel channel;
 
-    /** Sends and receives nothing until it listens; {@code allPeers} may be null. */
+    /**
+     * Creates a transport that sends and receives no datagrams until {@link #listen} is called.
+     * {@code broadcastAddress} is null if no address reaches all peers.
+     */
     public GossipTransport(
             MonotonicClock clock,
             LoadBalancerExecutor loadBalancerExecutor,
             List<InetSocketAddress> peers,
-            InetSocketAddress allPeers) {
+            InetSocketAddress broadcastAddress) {
         this.clock = clock;
         this.loadBalancerExecutor = loadBalancerExecutor;
-        updatePeers(peers, allPeers);
+        updatePeers(peers, broadcastAddress);
     }
 
-    /** Replaces the peers. From now on a peer's index is that in {@code newPeers}. */
-    public void updatePeers(List<InetSocketAddress> newPeers, InetSocketAddress newAllPeers) {
+    /** Replaces the peers. From now on the index of a peer is its index in {@code newPeers}. */
+    public void updatePeers(List<InetSocketAddress> newPeers, InetSocketAddress newBroadcastAddress) {
         peers = newPeers;
-        allPeers = newAllPeers;
-        peerIndexes.clear();
+        broadcastAddress = newBroadcastAddress;
+        peerIndexesByAddress.clear();
         for (int i = 0; i < peers.size(); i++) {
-            peerIndexes.put(peers.get(i), i);
+            peerIndexesByAddress.put(peers.get(i), i);
         }
     }
 
@@ -80,19 +83,19 @@
         }
     }
 
-    /** Returns null if there is no such peer. */
+    /** Returns the address to send to, or null if there is no such peer. */
     private InetSocketAddress recipient(int peer) {
         if (peer == LoadBalancerActions.ALL_SIDECARS) {
-            return allPeers;
+            return broadcastAddress;
         }
         return peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
     }
 
-    /** Passes the datagrams of peers to the load balancer. */
+    /** Passes the gossip of peers to the load balancer. */
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            Integer peer = peerIndexes.get(packet.sender());
+            Integer peer = peerIndexesByAddress.get(packet.sender());
             if (peer == null || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
                 return;
             }
@@ -101,7 +104,7 @@
                     "gossip", loadBalancer -> loadBalancer.onGossip(clock.nowMicros(), peer, message), () -> {});
         }
 
-        /** Ignored: an earlier datagram could not be delivered, and the socket remains usable. */
+        /** Ignores the failure: an earlier datagram could not be delivered, and the socket remains usable. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -8,9 +8,10 @@
 import sun.misc.SignalHandler;
 
 /**
- * Reloads the configuration on SIGHUP. Created early in the start, because an unhandled SIGHUP would end the process. A
- * signal that arrives before there is a sidecar takes effect in {@link #attach}. The file is read on the thread of the
- * signal or of {@code attach}, never on the event loop, which only receives the validated result. Thread-safe.
+ * Reloads the configuration on SIGHUP. It is created early during startup, because an unhandled SIGHUP would end the
+ * process. A signal that arrives before the sidecar has started is handled by {@link #attach}. The file is read on the
+ * thread that handles the signal or calls {@code attach}, never on the event loop, which only receives the validated
+ * configuration. Thread-safe.
  */
 final class ConfigurationReloader {
     private final Map<String, String> environment;
@@ -20,7 +21,8 @@
     ConfigurationReloader(Map<String, String> environment) {
         this.environment = environment;
         if (Signal.handle(new Signal("HUP"), signal -> onSignal()) == SignalHandler.SIG_IGN) {
-            // If SIGHUP was ignored when Java was started, as nohup does, Java keeps it ignored and calls no handler.
+            // If SIGHUP was already ignored when the JVM was started (for example by nohup), the JVM leaves it ignored
+            // and never calls the handler.
             SidecarLog.info("configuration_reload_disabled reason=\"SIGHUP was ignored when the process was started\"");
         }
     }
@@ -31,13 +33,13 @@
         reloadIfPending();
     }
 
-    /** Sets the sidecar that reloads apply to. A pending reload is done at once. */
-    synchronized void attach(Sidecar started) {
-        sidecar = started;
+    /** Sets the sidecar that reloads apply to. If a reload is pending, it is done before this method returns. */
+    synchronized void attach(Sidecar startedSidecar) {
+        sidecar = startedSidecar;
         reloadIfPending();
     }
 
-    /** Reads and applies the configuration. If it is invalid, that is logged and the one in force stays. */
+    /** Reads and applies the configuration. If it is invalid, logs the reason and keeps the current configuration. */
     private void reloadIfPending() {
         if (sidecar == null || !reloadPending) {
             return;
--- a/src/main/java/loadbalancer/proxy/lifecycle/LoadBalancerFactory.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/LoadBalancerFactory.java
@@ -8,8 +8,9 @@
 @FunctionalInterface
 public interface LoadBalancerFactory {
     /**
-     * Creates the load balancer, which may already use {@code actions} in its constructor; they are carried out after
-     * this call. {@code nowMicros} is a time of the sidecar's {@link loadbalancer.proxy.eventloop.MonotonicClock}.
+     * Creates the load balancer. Its constructor may already call {@code actions}; these actions are carried out after
+     * this method has returned. {@code nowMicros} is the current time of the sidecar's
+     * {@link loadbalancer.proxy.eventloop.MonotonicClock}.
      */
     LoadBalancer create(SidecarConfiguration configuration, long nowMicros, LoadBalancerActions actions);
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -12,21 +12,21 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
- * The periodic work on the event loop, every 100 ms: measures how late the loop is, closes stalled connections of
- * clients, and every 5 s logs the totals. Confined to the event loop.
+ * Runs on the event loop every 100 ms: measures how late the loop is and closes stalled client connections. Also logs
+ * the traffic totals every 5 s. Confined to the event loop.
  */
 final class MaintenanceTask {
     private static final long INTERVAL_MILLIS = 100;
-    /** Totals are logged every 5 s, often enough to see when a problem began and ended. */
-    private static final int RUNS_PER_TOTALS = 50;
+    /** The totals are logged every 5 s, often enough to see when a problem began and ended. */
+    private static final int RUNS_PER_TOTALS_LINE = 50;
 
     private final ReadTrackingEventLoop eventLoop;
     private final MonotonicClock clock;
     private final EventLoopMonitor monitor;
     private final TrafficStatistics statistics;
-    private final ClientServer clients;
-    private final RequestDispatcher requests;
-    private final UpstreamConnectionPool upstreams;
+    private final ClientServer clientServer;
+    private final RequestDispatcher dispatcher;
+    private final UpstreamConnectionPool upstreamPool;
     private long previousRunMicros;
     private long runs;
 
@@ -34,16 +34,16 @@
             ReadTrackingEventLoop eventLoop,
             EventLoopMonitor monitor,
             TrafficStatistics statistics,
-            ClientServer clients,
-            RequestDispatcher requests,
-            UpstreamConnectionPool upstreams) {
+            ClientServer clientServer,
+            RequestDispatcher dispatcher,
+            UpstreamConnectionPool upstreamPool) {
         this.eventLoop = eventLoop;
         clock = eventLoop.clock();
         this.monitor = monitor;
         this.statistics = statistics;
-        this.clients = clients;
-        this.requests = requests;
-        this.upstreams = upstreams;
+        this.clientServer = clientServer;
+        this.dispatcher = dispatcher;
+        this.upstreamPool = upstreamPool;
     }
 
     void start() {
@@ -61,27 +61,27 @@
     private void run() {
         long nowMicros = clock.nowMicros();
         recordLag(nowMicros - previousRunMicros - INTERVAL_MILLIS * 1000);
-        clients.closeStalledConnections();
+        clientServer.closeStalledConnections();
         monitor.taskFinished("stalled_connection_sweep", nowMicros);
-        if (++runs % RUNS_PER_TOTALS == 0) {
+        if (++runs % RUNS_PER_TOTALS_LINE == 0) {
             logTotals();
         }
         previousRunMicros = nowMicros;
     }
 
     private void recordLag(long lagMicros) {
-        statistics.eventLoopLag(lagMicros);
+        statistics.recordEventLoopLag(lagMicros);
         eventLoop.recordLag(lagMicros);
-        String lateLine = monitor.checkLag(lagMicros);
-        if (lateLine != null) {
-            SidecarLog.info(lateLine);
+        String lateLoopReport = monitor.checkLag(lagMicros);
+        if (lateLoopReport != null) {
+            SidecarLog.info(lateLoopReport);
         }
     }
 
     private void logTotals() {
         long startMicros = clock.nowMicros();
         String totals = statistics.summarizeAndReset(
-                requests.openRequests(), clients.openConnections(), upstreams.openConnections());
+                dispatcher.openRequests(), clientServer.openConnections(), upstreamPool.openConnections());
         if (totals != null) {
             SidecarLog.info(totals);
             monitor.resetBaseline();
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -26,32 +26,34 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * One sidecar: creates its parts, starts them, applies a new configuration and stops them. A single event loop owns all
- * parts. The methods may be called from any thread except the event loop's; they submit their work to the loop.
+ * One sidecar: creates its components, starts them, applies a new configuration to them and stops them. A single event
+ * loop owns all components. The methods may be called from any thread except that of the event loop; they submit their
+ * work to the loop.
  */
 public final class Sidecar {
     /**
-     * The stall timeout is never shorter, whatever the latency objectives are: an endpoint that works does not pause
-     * for this long within a response.
+     * Lower bound of the stall timeout, however short the latency objectives are. A working endpoint does not pause for
+     * this long within a response.
      */
     private static final long MIN_STALL_TIMEOUT_MICROS = 10_000;
 
     private final LoadBalancerFactory loadBalancerFactory;
     private final ReadTrackingEventLoop eventLoop;
     private final MonotonicClock clock;
-    private final EventLoop loop;
-    private final DescriptorBudget descriptors;
+    private final EventLoop nettyEventLoop;
+    private final DescriptorBudget descriptorBudget;
     private final TrafficStatistics statistics = new TrafficStatistics();
     private final LoadBalancerExecutor loadBalancerExecutor;
-    private final UpstreamConnectionPool upstreams;
-    private final RequestDispatcher requests;
+    private final UpstreamConnectionPool upstreamPool;
+    private final RequestDispatcher dispatcher;
     private final DiscoveryWatch discovery;
     private final GossipTransport gossip;
-    private final ClientServer clients;
+    private final ClientServer clientServer;
     private final MaintenanceTask maintenance;
-    /** Replaced on the event loop only, but read by other threads too. */
+    /** The current configuration. Replaced only on the event loop, but also read by other threads. */
     private volatile SidecarConfiguration configuration;
 
+    /** Null before {@link #start} has returned. */
     private InetSocketAddress listenAddress;
 
     /** Creates a sidecar with its own event loop and the default timeouts. Opens no socket. */
@@ -64,7 +66,7 @@
                 DiscoveryWatch.defaultBackoff());
     }
 
-    /** Creates a sidecar on {@code eventLoop}, which it owns from then on. Opens no socket. */
+    /** Creates a sidecar on {@code eventLoop} and takes ownership of the loop. Opens no socket. */
     public Sidecar(
             SidecarConfiguration configuration,
             LoadBalancerFactory loadBalancerFactory,
@@ -75,23 +77,23 @@
         this.loadBalancerFactory = loadBalancerFactory;
         this.eventLoop = eventLoop;
         clock = eventLoop.clock();
-        loop = eventLoop.nettyEventLoop();
-        descriptors = DescriptorBudget.of(configuration.descriptorLimit());
+        nettyEventLoop = eventLoop.nettyEventLoop();
+        descriptorBudget = DescriptorBudget.of(configuration.descriptorLimit());
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         loadBalancerExecutor = new LoadBalancerExecutor(clock, monitor);
-        upstreams = newUpstreamPool();
-        requests = new RequestDispatcher(
-                loop,
+        upstreamPool = newUpstreamPool();
+        dispatcher = new RequestDispatcher(
+                nettyEventLoop,
                 clock,
                 loadBalancerExecutor,
-                upstreams,
+                upstreamPool,
                 settings().limits().maxAttempts(),
                 statistics);
         discovery = newDiscoveryWatch(watchTimeouts, discoveryBackoff);
         gossip = new GossipTransport(
                 clock, loadBalancerExecutor, configuration.gossipPeers(), configuration.gossipBroadcastAddress());
-        clients = newClientServer();
-        maintenance = new MaintenanceTask(eventLoop, monitor, statistics, clients, requests, upstreams);
+        clientServer = newClientServer();
+        maintenance = new MaintenanceTask(eventLoop, monitor, statistics, clientServer, dispatcher, upstreamPool);
     }
 
     private UpstreamConnectionPool newUpstreamPool() {
@@ -99,16 +101,16 @@
                 eventLoop,
                 upstreamTimeouts(settings()),
                 UpstreamConnectionPool.REUSE_DELAY_MICROS,
-                () -> descriptors.maxConnections() - openClientConnections(),
+                () -> descriptorBudget.maxConnections() - openClientConnections(),
                 statistics);
     }
 
     private DiscoveryWatch newDiscoveryWatch(WatchTimeouts watchTimeouts, ExponentialBackoff backoff) {
         return new DiscoveryWatch(
-                loop,
+                nettyEventLoop,
                 clock,
                 loadBalancerExecutor,
-                upstreams::updateEndpoints,
+                upstreamPool::updateEndpoints,
                 new DiscoveryWatch.Options(
                         configuration.discoveryAddress(),
                         configuration.initialEndpoints().generation(),
@@ -120,31 +122,31 @@
     private ClientServer newClientServer() {
         return new ClientServer(
                 eventLoop,
-                requests,
+                dispatcher,
                 settings().requestClasses(),
-                () -> discovery.hasSynced() && upstreams.hasReadyEndpoint(),
+                () -> discovery.hasSynced() && upstreamPool.hasReadyEndpoint(),
                 new ConnectionLimits(
-                        descriptors.maxClientConnections(),
-                        descriptors.maxIdleClientConnections(),
+                        descriptorBudget.maxClientConnections(),
+                        descriptorBudget.maxIdleClientConnections(),
                         this::hasDescriptorForClient),
                 statistics);
     }
 
     /**
-     * Used instead of {@code clients::openConnections}, because {@link #clients} is not set yet when the pool is
-     * created.
+     * Returns the number of open client connections. The upstream pool gets a lambda that calls this method rather than
+     * {@code clientServer::openConnections}, because {@link #clientServer} is not yet set when the pool is created.
      */
     private int openClientConnections() {
-        return clients.openConnections();
+        return clientServer.openConnections();
     }
 
     /**
-     * Returns whether a client's connection may be accepted. If no descriptor is free, closes an idle connection to an
-     * endpoint to free one.
+     * Returns whether a client connection may be accepted. If no descriptor is free, closes an idle upstream connection
+     * to free one.
      */
     private boolean hasDescriptorForClient() {
-        return openClientConnections() + upstreams.openConnections() < descriptors.maxConnections()
-                || upstreams.closeOldestIdleConnection();
+        return openClientConnections() + upstreamPool.openConnections() < descriptorBudget.maxConnections()
+                || upstreamPool.closeOldestIdleConnection();
     }
 
     private static UpstreamTimeouts upstreamTimeouts(LoadBalancerSettings settings) {
@@ -154,7 +156,7 @@
                 stallTimeoutMicros(settings));
     }
 
-    /** A quarter of the shortest latency objective, which leaves enough time for another attempt. */
+    /** Returns a quarter of the shortest latency objective, which leaves enough time for another attempt. */
     private static long stallTimeoutMicros(LoadBalancerSettings settings) {
         long shortestObjectiveMicros = settings.requestClasses().stream()
                 .mapToLong(RequestClass::latencyObjectiveMicros)
@@ -164,25 +166,26 @@
     }
 
     /**
-     * Starts the load balancer and discovery, then opens the listeners. Clients are served once this returns.
+     * Starts the load balancer and discovery, then opens the listening sockets. Clients are served once this method has
+     * returned.
      *
-     * @throws java.net.BindException undeclared, if an address can't be listened on
+     * @throws java.net.BindException (not declared) if a listen address can't be bound
      */
     public void start() throws InterruptedException {
-        upstreams.updateEndpoints(configuration.initialEndpoints());
-        loop.submit(this::startLoadBalancer).sync();
-        loop.execute(discovery::start);
+        upstreamPool.updateEndpoints(configuration.initialEndpoints());
+        nettyEventLoop.submit(this::startLoadBalancer).sync();
+        nettyEventLoop.execute(discovery::start);
         if (configuration.gossipListenAddress() != null) {
-            gossip.listen(loop, configuration.gossipListenAddress());
+            gossip.listen(nettyEventLoop, configuration.gossipListenAddress());
         }
-        listenAddress = clients.listen(configuration.listenAddress());
-        loop.execute(maintenance::start);
+        listenAddress = clientServer.listen(configuration.listenAddress());
+        nettyEventLoop.execute(maintenance::start);
     }
 
     private void startLoadBalancer() {
         loadBalancerExecutor.start(
                 this::newLoadBalancer,
-                new SidecarActions(eventLoop, loadBalancerExecutor, requests, upstreams, discovery, gossip));
+                new SidecarActions(eventLoop, loadBalancerExecutor, dispatcher, upstreamPool, discovery, gossip));
     }
 
     private LoadBalancer newLoadBalancer(LoadBalancerActions actions) {
@@ -195,47 +198,49 @@
     }
 
     /**
-     * How many connections of clients and to endpoints are open or being opened. Blocks until the event loop answers.
+     * Returns the number of client and upstream connections that are open or being opened. Blocks until the event loop
+     * has counted them.
      */
     int openConnections() throws InterruptedException {
         int[] open = new int[1];
-        loop.submit(() -> open[0] = clients.openConnections() + upstreams.openConnections())
+        nettyEventLoop
+                .submit(() -> open[0] = clientServer.openConnections() + upstreamPool.openConnections())
                 .sync();
         return open[0];
     }
 
-    /** The settings in force. */
+    /** Returns the current settings. */
     public LoadBalancerSettings settings() {
         return configuration.settings();
     }
 
-    /** Where clients connect, with the port that was bound; null before {@link #start} has returned. */
+    /** Returns the bound address that clients connect to, or null before {@link #start} has returned. */
     public InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
     /**
-     * Makes the sidecar serve without reporting readiness until {@link #warmUpCompleted}. {@code onRequest} runs on the
-     * event loop for each request that is accepted until then. Must be called before {@link #start}.
+     * Keeps the sidecar from reporting readiness until {@link #warmUpCompleted}, although it serves requests. Until
+     * then {@code onRequest} runs on the event loop for each accepted request. Must be called before {@link #start}.
      */
     public void holdReadinessForWarmUp(Runnable onRequest) {
-        clients.holdReadinessForWarmUp(onRequest);
+        clientServer.holdReadinessForWarmUp(onRequest);
     }
 
     /**
-     * Lets the sidecar report readiness, if discovery has synced and an endpoint is ready. Blocks until that is in
-     * effect.
+     * Lets the sidecar report readiness as soon as discovery has synced and an endpoint is ready. Blocks until the
+     * event loop has applied the change.
      */
     void warmUpCompleted() throws InterruptedException {
-        loop.submit(clients::warmUpCompleted).sync();
+        nettyEventLoop.submit(clientServer::warmUpCompleted).sync();
     }
 
     /**
-     * Applies a validated configuration on the event loop: discovery address, settings and gossip peers. The listen
-     * addresses, the descriptor limit and the seed change only with the next start.
+     * Applies a validated configuration on the event loop: discovery address, settings and gossip peers. Changes of the
+     * listen addresses, the descriptor limit and the seed take effect at the next start.
      */
     public void applyConfiguration(SidecarConfiguration reloaded) {
-        loop.execute(() -> {
+        nettyEventLoop.execute(() -> {
             discovery.moveTo(reloaded.discoveryAddress());
             if (hasNewSettingsOrPeers(reloaded)) {
                 configuration = reloaded;
@@ -246,33 +251,35 @@
     }
 
     private boolean hasNewSettingsOrPeers(SidecarConfiguration reloaded) {
-        // Compares the text, because the first comparison of the settings records would load a hundred classes.
-        return !reloaded.settingsText().equals(configuration.settingsText())
+        // Compares the flattened settings, because the first comparison of settings records would load a hundred
+        // classes.
+        return !reloaded.flattenedSettings().equals(configuration.flattenedSettings())
                 || !reloaded.gossipPeers().equals(configuration.gossipPeers());
     }
 
     private void applySettings(SidecarConfiguration reloaded) {
         LoadBalancerSettings settings = reloaded.settings();
         gossip.updatePeers(reloaded.gossipPeers(), reloaded.gossipBroadcastAddress());
-        // The load balancer comes first, as it must know a new class before a request of that class is accepted.
+        // The load balancer is updated first, because it must know a new request class before a request of that class
+        // is accepted.
         loadBalancerExecutor.submit(
                 "settings", loadBalancer -> loadBalancer.onSettings(clock.nowMicros(), settings), () -> {});
-        requests.updateMaxAttempts(settings.limits().maxAttempts());
-        upstreams.updateTimeouts(upstreamTimeouts(settings));
-        clients.updateRequestClasses(settings.requestClasses());
+        dispatcher.updateMaxAttempts(settings.limits().maxAttempts());
+        upstreamPool.updateTimeouts(upstreamTimeouts(settings));
+        clientServer.updateRequestClasses(settings.requestClasses());
     }
 
     /**
      * Starts the graceful shutdown. Runs {@code onStopped} on the event loop once all accepted requests are answered
-     * and all connections of clients are closed.
+     * and all client connections are closed.
      */
     void shutDownGracefully(Runnable onStopped) {
-        loop.execute(() -> clients.shutDownGracefully(onStopped));
+        nettyEventLoop.execute(() -> clientServer.shutDownGracefully(onStopped));
     }
 
-    /** Ends the event loop at once; all requests and connections are dropped. */
+    /** Ends the event loop at once and drops all requests and connections. */
     public void shutDownNow() {
-        loop.execute(discovery::stop);
+        nettyEventLoop.execute(discovery::stop);
         eventLoop.shutDown();
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarActions.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarActions.java
@@ -20,62 +20,62 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
- * Carries out the actions of the load balancer by calling the part of the sidecar that each concerns. Confined to the
- * event loop.
+ * Carries out the actions of the load balancer by calling the component of the sidecar that is responsible for each
+ * action. Confined to the event loop.
  */
 final class SidecarActions implements LoadBalancerActions {
-    /** A load report that takes longer is too old to describe the current load. */
+    /** A load report that takes longer than this to arrive is too old to describe the current load. */
     private static final long HEALTH_CHECK_TIMEOUT_MICROS = 50_000;
 
     private static final String LOAD_REPORT_PATH = "/stats";
 
-    private final EventLoop loop;
+    private final EventLoop nettyEventLoop;
     private final MonotonicClock clock;
     private final LoadBalancerExecutor loadBalancerExecutor;
-    private final RequestDispatcher requests;
-    private final UpstreamConnectionPool upstreams;
+    private final RequestDispatcher dispatcher;
+    private final UpstreamConnectionPool upstreamPool;
     private final DiscoveryWatch discovery;
     private final GossipTransport gossip;
 
     SidecarActions(
             ReadTrackingEventLoop eventLoop,
             LoadBalancerExecutor loadBalancerExecutor,
-            RequestDispatcher requests,
-            UpstreamConnectionPool upstreams,
+            RequestDispatcher dispatcher,
+            UpstreamConnectionPool upstreamPool,
             DiscoveryWatch discovery,
             GossipTransport gossip) {
-        loop = eventLoop.nettyEventLoop();
+        nettyEventLoop = eventLoop.nettyEventLoop();
         clock = eventLoop.clock();
         this.loadBalancerExecutor = loadBalancerExecutor;
-        this.requests = requests;
-        this.upstreams = upstreams;
+        this.dispatcher = dispatcher;
+        this.upstreamPool = upstreamPool;
         this.discovery = discovery;
         this.gossip = gossip;
     }
 
     @Override
     public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
-        requests.sendAttempt(requestId, endpointId, deadlineMicros);
+        dispatcher.sendAttempt(requestId, endpointId, deadlineMicros);
     }
 
     @Override
     public void reject(String requestId, long retryAfterMicros) {
-        requests.reject(requestId, retryAfterMicros);
+        dispatcher.reject(requestId, retryAfterMicros);
     }
 
     @Override
     public void fail(String requestId) {
-        requests.fail(requestId);
+        dispatcher.fail(requestId);
     }
 
     @Override
     public void cancelAttempt(String requestId, int attemptNumber) {
-        requests.cancelAttempt(requestId, attemptNumber);
+        dispatcher.cancelAttempt(requestId, attemptNumber);
     }
 
     @Override
     public void checkHealth(String endpointId) {
-        upstreams.startCall(UpstreamCall.healthCheck(
+        upstreamPool.startCall(UpstreamCall.healthCheck(
                 endpointId,
                 clock.nowMicros() + HEALTH_CHECK_TIMEOUT_MICROS,
                 remainingMicros -> loadReportRequest(),
@@ -110,16 +110,16 @@
 
     @Override
     public void closeIdleConnections(String endpointId) {
-        upstreams.closeIdleConnections(endpointId);
+        upstreamPool.closeIdleConnections(endpointId);
     }
 
     @Override
     public void startTimer(String timerName, long delayMicros) {
-        loop.schedule(
+        nettyEventLoop.schedule(
                 () -> loadBalancerExecutor.submit(
                         "timer",
                         loadBalancer -> loadBalancer.onTimer(clock.nowMicros(), timerName),
-                        requests::failRequestsWithoutAttemptInFlight),
+                        dispatcher::failRequestsWithoutAttemptInFlight),
                 delayMicros,
                 TimeUnit.MICROSECONDS);
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -12,7 +12,8 @@
 import loadbalancer.proxy.observability.StartupTimer;
 
 /**
- * The process of one sidecar: starts it from the environment, reports readiness, and stops it on a termination signal.
+ * The process of one sidecar: reads the configuration that the environment variables point to, starts the sidecar,
+ * reports readiness, and stops the sidecar on a termination signal.
  */
 public final class SidecarProcess {
     private static final int EXIT_STOPPED = 0;
@@ -22,8 +23,8 @@
     private SidecarProcess() {}
 
     /**
-     * Starts the sidecar and serves until the process ends. Returns only if the start failed, with the exit code for
-     * the process.
+     * Starts the sidecar and serves until the process ends. Returns only if the start failed; the result is the exit
+     * code of the process.
      */
     public static int serve(Map<String, String> environment) throws InterruptedException {
         int exitCode = EXIT_START_FAILED;
@@ -33,8 +34,8 @@
             SidecarLog.info("configuration_invalid reason=" + SidecarLog.quote(e.getMessage()));
             exitCode = EXIT_CONFIGURATION_INVALID;
         } catch (RuntimeException | Error e) {
-            // Catches errors too. Otherwise the event loop's thread would keep a process alive that never becomes
-            // ready.
+            // Errors are caught too. Otherwise the thread of the event loop would keep the process alive although it
+            // never becomes ready.
             SidecarLog.error("start_failed", e);
         }
         SidecarLog.flush();
@@ -77,7 +78,7 @@
             sidecar.start();
             return true;
         } catch (Exception e) {
-            // If the address can't be bound, Netty throws a checked BindException without declaring it.
+            // If an address can't be bound, Netty throws a checked BindException without declaring it.
             SidecarLog.info("start_failed error=" + SidecarLog.quote(e));
             return false;
         }
@@ -96,11 +97,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        // A requested stop is not a failure. Without this the exit code would be that of the signal.
+        // A requested stop is not a failure. Without this call the exit code would be that of the signal.
         Runtime.getRuntime().halt(EXIT_STOPPED);
     }
 
-    /** Blocks forever; the shutdown hook ends the process. */
+    /** Blocks until the shutdown hook ends the process. */
     private static void awaitTermination() throws InterruptedException {
         new CountDownLatch(1).await();
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -24,17 +24,19 @@
 import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * Loads and links the serving code before the sidecar reports readiness. A second sidecar in this process, with its own
- * event loop, serves a few requests between a stub client and a stub server. Code that runs for the first time takes
- * ten times as long; under full traffic that would make endpoints look slow and most first requests late.
+ * Loads and links the classes that serve requests before the sidecar reports readiness. A second sidecar in this
+ * process, with its own event loop, serves a few requests between a stub client and a stub server. Code that runs for
+ * the first time takes ten times as long as later; under full traffic this would make endpoints look slow and most of
+ * the first requests late.
  */
 final class StartupWarmUp {
     /**
-     * A few of each class, as a fixed number. More would only have the code compiled earlier. The warm-up does not wait
-     * for the latency to fall, because on a shared processor it may stay high.
+     * The warm-up ends after this number of responses, a few for each request class. More requests would only cause the
+     * code to be compiled earlier. The number is fixed instead of depending on the latency, because the latency may
+     * stay high on a shared processor.
      */
     private static final int MAX_REQUESTS = 12;
-    /** Enough requests at once to keep the event loop busy, and few enough not to overload an endpoint. */
+    /** Enough concurrent requests to keep the event loop busy, but too few to overload an endpoint. */
     private static final int CLIENT_CONNECTIONS = 3;
 
     private static final int ENDPOINTS = 6;
@@ -51,21 +53,21 @@
         client = new WarmUpClient(configuration.settings().requestClasses(), MAX_REQUESTS);
     }
 
-    /** Ends the warm-up early. May be called from any thread, even before {@link #run}. */
+    /** Ends the warm-up early. May be called from any thread, also before {@link #run}. */
     void cancel() {
         client.cancel();
     }
 
     /**
-     * Runs the warm-up, blocks until it has ended and returns how many requests were served. A failure is logged, not
-     * thrown.
+     * Runs the warm-up, blocks until it has ended and returns the number of requests that were served. A failure is
+     * logged, not thrown.
      */
     int run() {
         ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(new MonotonicClock());
         try {
             serveRequests(eventLoop);
         } catch (Exception | Error e) {
-            // Catches errors too, because without a warm-up the sidecar is only slower at first.
+            // Errors are caught too, because without a warm-up the sidecar still works and is only slower at first.
             SidecarLog.error("warm_up_failed", e);
         } finally {
             eventLoop.shutDown();
@@ -74,10 +76,10 @@
     }
 
     private void serveRequests(ReadTrackingEventLoop eventLoop) throws InterruptedException {
-        EventLoop loop = eventLoop.nettyEventLoop();
+        EventLoop nettyEventLoop = eventLoop.nettyEventLoop();
         InetSocketAddress anyPort =
                 new InetSocketAddress(configuration.listenAddress().getAddress(), 0);
-        InetSocketAddress serverAddress = startServer(loop, anyPort);
+        InetSocketAddress serverAddress = startServer(nettyEventLoop, anyPort);
         Sidecar sidecar = new Sidecar(
                 configuration.forWarmUp(anyPort, serverAddress, endpointsAt(serverAddress)),
                 loadBalancerFactory,
@@ -86,17 +88,17 @@
                 DiscoveryWatch.defaultBackoff());
         sidecar.start();
         Bootstrap bootstrap = ClientBootstraps.http(
-                loop, CONNECT_TIMEOUT_MILLIS, ProtocolConstants.MAX_REQUEST_BODY_BYTES, client::newHandler);
+                nettyEventLoop, CONNECT_TIMEOUT_MILLIS, ProtocolConstants.MAX_REQUEST_BODY_BYTES, client::newHandler);
         for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
             bootstrap.connect(sidecar.listenAddress());
         }
         client.await(MAX_DURATION_MILLIS);
     }
 
-    private static InetSocketAddress startServer(EventLoop loop, InetSocketAddress address)
+    private static InetSocketAddress startServer(EventLoop nettyEventLoop, InetSocketAddress address)
             throws InterruptedException {
         return (InetSocketAddress) new ServerBootstrap()
-                .group(loop)
+                .group(nettyEventLoop)
                 .channelFactory(NioServerSocketChannel::new)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
@@ -17,9 +17,9 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The client of a warm-up. Sends requests of all classes in turn, one at a time on each connection, until enough are
- * answered. {@link #cancel}, {@link #await} and {@link #responses} may be called from any thread; all other methods run
- * on the event loop of the connections.
+ * The client of a warm-up. Sends requests of all classes in turn, one at a time on each connection, until
+ * {@code maxResponses} responses have arrived. {@link #cancel}, {@link #await} and {@link #responses} may be called
+ * from any thread; all other methods run on the event loop of the connections.
  */
 final class WarmUpClient {
     private final List<RequestClass> requestClasses;
@@ -34,17 +34,17 @@
         this.maxResponses = maxResponses;
     }
 
-    /** Creates the handler for one connection, which sends its first request when the connection is open. */
+    /** Creates the handler of one connection. It sends its first request when the connection is open. */
     ChannelHandler newHandler() {
         return new Handler();
     }
 
-    /** Makes {@link #await} return at once, even if it is called later. */
+    /** Makes {@link #await} return at once, also if {@code await} is called later. */
     void cancel() {
         finished.countDown();
     }
 
-    /** Returns when enough requests are answered, when it is cancelled, or after the timeout. */
+    /** Blocks until enough responses have arrived, {@link #cancel} is called, or the timeout has passed. */
     void await(long timeoutMillis) throws InterruptedException {
         finished.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpServerHandler.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpServerHandler.java
@@ -13,8 +13,8 @@
 import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * The server of a warm-up, both endpoint and discovery. Answers requests and immediate discovery calls at once. Leaves
- * long polls unanswered, as if the endpoint list never changed.
+ * The server of a warm-up, which acts as endpoint and as discovery service. Answers requests and immediate discovery
+ * calls at once. Never answers a long poll, as if the endpoint list did not change.
  */
 final class WarmUpServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final String NO_CHANGES = "{\"generation\":1,\"reset\":false,\"instances\":[]}";
@@ -22,10 +22,10 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-        boolean toDiscovery = request.uri().startsWith("/registry/");
-        boolean watch = toDiscovery && !request.uri().endsWith("wait=0");
-        if (!watch) {
-            context.writeAndFlush(response(toDiscovery ? NO_CHANGES : LOAD_REPORT));
+        boolean isDiscoveryCall = request.uri().startsWith("/registry/");
+        boolean isLongPoll = isDiscoveryCall && !request.uri().endsWith("wait=0");
+        if (!isLongPoll) {
+            context.writeAndFlush(response(isDiscoveryCall ? NO_CHANGES : LOAD_REPORT));
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/package-info.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The lifecycle of one sidecar: process, start and warm-up, configuration reload and shutdown. Connects all parts on
- * one event loop and divides the file descriptors among them. Never decides about a request.
+ * The lifecycle of one sidecar: process, start and warm-up, configuration reload and shutdown. Creates all components
+ * on one event loop, connects them with each other and divides the file descriptors among them. Makes no decision about
+ * a request.
  */
 package loadbalancer.proxy.lifecycle;
--- a/src/main/java/loadbalancer/proxy/observability/NettyLogger.java
+++ b/src/main/java/loadbalancer/proxy/observability/NettyLogger.java
@@ -6,7 +6,7 @@
 
 /**
  * A Netty logger that writes warnings and errors to {@link SidecarLog} and discards all other levels. It has to
- * override every method of Netty's interface, as there is no common method for all levels. Thread-safe.
+ * override every method of Netty's interface, because there is no method that all levels share. Thread-safe.
  */
 final class NettyLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
+++ b/src/main/java/loadbalancer/proxy/observability/SidecarLog.java
@@ -5,20 +5,20 @@
 /**
  * The log of the process on standard error: one line for each event that an operator should know about, in the form
  * {@code event_name key=value ...}. Ordinary requests are not logged. Thread-safe. Logging never blocks the caller: a
- * daemon thread writes the lines, because a write to a pipe blocks while its reader does not read. If more than
- * {@link #MAX_PENDING} lines are waiting, further ones are dropped; a line of its own states how many.
+ * daemon thread writes the lines, because a write to a pipe blocks while its reader does not read. If
+ * {@link #MAX_PENDING_LINES} lines are waiting, further lines are dropped; a separate line reports how many.
  */
 public final class SidecarLog {
-    static final int MAX_PENDING = 1_024;
+    static final int MAX_PENDING_LINES = 1_024;
 
     private static final String PREFIX = "load-balancer: ";
     private static final long FLUSH_TIMEOUT_MILLIS = 500;
     private static final int MAX_STACK_FRAMES = 4;
 
     private static final Object LOCK = new Object();
-    private static final ArrayDeque<String> PENDING = new ArrayDeque<>();
-    private static long dropped;
-    /** Whether the writer has taken a line that is not written yet. */
+    private static final ArrayDeque<String> PENDING_LINES = new ArrayDeque<>();
+    private static long droppedLines;
+    /** Whether the writer thread has removed a line from the queue that it has not written yet. */
     private static boolean writing;
 
     static {
@@ -32,16 +32,16 @@
     /** Logs one line, which must not contain a line break. */
     public static void info(String line) {
         synchronized (LOCK) {
-            if (PENDING.size() >= MAX_PENDING) {
-                dropped++;
+            if (PENDING_LINES.size() >= MAX_PENDING_LINES) {
+                droppedLines++;
                 return;
             }
-            PENDING.add(line);
+            PENDING_LINES.add(line);
             LOCK.notifyAll();
         }
     }
 
-    /** Logs {@code event} with the failure that caused it and the innermost frames of its stack trace. */
+    /** Logs {@code event} with {@code failure}, which caused it, and the innermost frames of the stack trace. */
     public static void error(String event, Throwable failure) {
         StringBuilder line = new StringBuilder(event).append(" error=").append(quote(failure));
         StackTraceElement[] frames = failure.getStackTrace();
@@ -52,21 +52,22 @@
     }
 
     /**
-     * Puts a value into quotation marks, for use in a log line. Quotation marks and line breaks inside it are replaced.
+     * Returns a value in quotation marks, for use in a log line. Quotation marks in the value are replaced by
+     * apostrophes and line breaks by spaces.
      */
     public static String quote(Object value) {
         return '"' + String.valueOf(value).replace('"', '\'').replace('\n', ' ').replace('\r', ' ') + '"';
     }
 
     /**
-     * Blocks until all lines are written, but for half a second at most, as the reader of the log may have stopped
+     * Blocks until all lines are written, but for at most half a second, because the reader of the log may have stopped
      * reading.
      */
     public static void flush() throws InterruptedException {
         long deadlineNanos = System.nanoTime() + FLUSH_TIMEOUT_MILLIS * 1_000_000;
         synchronized (LOCK) {
             long remainingMillis = FLUSH_TIMEOUT_MILLIS;
-            while (remainingMillis > 0 && (writing || !PENDING.isEmpty())) {
+            while (remainingMillis > 0 && (writing || !PENDING_LINES.isEmpty())) {
                 LOCK.wait(remainingMillis);
                 remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
             }
@@ -84,20 +85,20 @@
         }
     }
 
-    /** Marks the previous line as written, then blocks until there is another one and returns it. */
+    /** Marks the previous line as written, then blocks until there is another line and returns that line. */
     private static String nextLine() throws InterruptedException {
         synchronized (LOCK) {
             writing = false;
             LOCK.notifyAll();
-            while (PENDING.isEmpty() && dropped == 0) {
+            while (PENDING_LINES.isEmpty() && droppedLines == 0) {
                 LOCK.wait();
             }
             writing = true;
-            if (!PENDING.isEmpty()) {
-                return PENDING.poll();
+            if (!PENDING_LINES.isEmpty()) {
+                return PENDING_LINES.poll();
             }
-            String line = "log_lines_dropped count=" + dropped;
-            dropped = 0;
+            String line = "log_lines_dropped count=" + droppedLines;
+            droppedLines = 0;
             return line;
         }
     }
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -8,13 +8,13 @@
 /** Counts the traffic since the previous {@code totals} line of the log. Confined to the event loop. */
 public final class TrafficStatistics {
     private final Map<AttemptOutcome, Integer> attemptOutcomes = new EnumMap<>(AttemptOutcome.class);
-    /** Counted by request class, because the sum can look good while one class is hardly served. */
+    /** Counts by request class, because the sums can look good although one class is hardly served. */
     private final Map<String, ClassCounts> requestClasses = new TreeMap<>();
 
-    private int failed;
-    private int disconnected;
+    private int failedRequests;
+    private int disconnectedClients;
     private int firstAttempts;
-    private long queuedMicros;
+    private long totalQueuedMicros;
     private long maxQueuedMicros;
     private int clientConnectionsAccepted;
     private int upstreamConnectionsOpened;
@@ -30,59 +30,59 @@
         return requestClasses.computeIfAbsent(requestClass, name -> new ClassCounts());
     }
 
-    /** A valid request was received from a client. */
+    /** Counts a valid request that a client has sent. */
     public void requestAccepted(String requestClass) {
         countsOf(requestClass).accepted++;
     }
 
-    /** A request was answered with the response of an endpoint. */
+    /** Counts a request that was answered with the response of an endpoint. */
     public void requestServed(String requestClass) {
         countsOf(requestClass).served++;
     }
 
-    /** A request was answered with the promise that nothing has run. */
+    /** Counts a request that was answered with a rejection, which states that no endpoint has run the request. */
     public void requestRejected(String requestClass) {
         countsOf(requestClass).rejected++;
     }
 
-    /** A request was answered with an error, and an attempt may have run. */
+    /** Counts a request that was answered with an error, and that an endpoint may have run. */
     public void requestFailed() {
-        failed++;
+        failedRequests++;
     }
 
-    /** A client closed its connection before its request was answered. */
+    /** Counts a client that closed its connection before its request was answered. */
     public void clientDisconnected() {
-        disconnected++;
+        disconnectedClients++;
     }
 
-    /** The first attempt of a request was started {@code queuedMicros} after the request was accepted. */
+    /** Counts the first attempt of a request, which was started {@code queuedMicros} after the request was accepted. */
     public void firstAttemptStarted(long queuedMicros) {
         firstAttempts++;
-        this.queuedMicros += queuedMicros;
+        totalQueuedMicros += queuedMicros;
         maxQueuedMicros = Math.max(maxQueuedMicros, queuedMicros);
     }
 
-    /** An attempt has ended. */
+    /** Counts an attempt that has ended. */
     public void attemptCompleted(AttemptOutcome outcome) {
         attemptOutcomes.merge(outcome, 1, Integer::sum);
     }
 
-    /** A connection of a client was accepted. */
+    /** Counts a client connection that was accepted. */
     public void clientConnectionAccepted() {
         clientConnectionsAccepted++;
     }
 
-    /** A connection to an endpoint was begun, whether or not it gets established. */
+    /** Counts an upstream connection that was begun, whether or not it gets established. */
     public void upstreamConnectionOpened() {
         upstreamConnectionsOpened++;
     }
 
-    /** The event loop was late by this much, and so was every response during that time. */
-    public void eventLoopLag(long lagMicros) {
+    /** Records that the event loop, and thereby every response in that time, was late by {@code lagMicros}. */
+    public void recordEventLoopLag(long lagMicros) {
         maxLagMicros = Math.max(maxLagMicros, lagMicros);
     }
 
-    /** Returns a log line with all counts and resets them; null if there was no traffic. */
+    /** Returns a log line with all counts and resets the counts. Returns null if there was no traffic. */
     public String summarizeAndReset(int openRequests, int clientConnections, int upstreamConnections) {
         if (requestClasses.isEmpty() && clientConnectionsAccepted + upstreamConnectionsOpened + openRequests == 0) {
             maxLagMicros = 0;
@@ -103,10 +103,10 @@
                 .append(counts.served)
                 .append(" rejected=")
                 .append(counts.rejected));
-        line.append(" failed=").append(failed);
-        line.append(" client_disconnected=").append(disconnected);
+        line.append(" failed=").append(failedRequests);
+        line.append(" client_disconnected=").append(disconnectedClients);
         line.append(" open_requests=").append(openRequests);
-        line.append(" queued_mean_micros=").append(queuedMicros / Math.max(1, firstAttempts));
+        line.append(" queued_mean_micros=").append(totalQueuedMicros / Math.max(1, firstAttempts));
         line.append(" queued_max_micros=").append(maxQueuedMicros);
         line.append(" client_connections=").append(clientConnections);
         line.append(" client_connections_accepted=").append(clientConnectionsAccepted);
@@ -121,10 +121,10 @@
     private void reset() {
         attemptOutcomes.clear();
         requestClasses.clear();
-        failed = 0;
-        disconnected = 0;
+        failedRequests = 0;
+        disconnectedClients = 0;
         firstAttempts = 0;
-        queuedMicros = 0;
+        totalQueuedMicros = 0;
         maxQueuedMicros = 0;
         clientConnectionsAccepted = 0;
         upstreamConnectionsOpened = 0;
--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -15,21 +15,21 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The dependencies between packages point one way, and the decision module depends on no input or output. */
+/** Packages have no cyclic dependencies, and the decision module does not depend on input or output. */
 class ArchitectureTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("loadbalancer");
 
-    /** Also guards against an import that found no classes, on which every rule would hold. */
+    /** Guards against an import that finds no classes, because then every rule would pass. */
     @Test
-    void theProductionClassesAreFound() {
+    void importsProductionClasses() {
         assertTrue(CLASSES.contain(Main.class), "Main");
         assertTrue(CLASSES.size() > 80, CLASSES.size() + " classes");
     }
 
     @Test
-    void packagesHaveNoCycles() {
+    void hasNoCyclesBetweenPackages() {
         check(SlicesRuleDefinition.slices()
                 .matching("loadbalancer.(**)")
                 .should()
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void decisionsDependOnSettingsAlone() {
+    void restrictsDecisionsToSettingsAndBasicJavaClasses() {
         check(noClasses()
                 .that()
                 .resideInAPackage("loadbalancer.decision..")
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void decisionsKnowNoThreadClockOrSocket() {
+    void keepsDecisionsFreeOfThreadsClocksAndSockets() {
         check(noClasses()
                 .that()
                 .resideInAPackage("loadbalancer.decision..")
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void whatServesDependsOnNeitherSimulatorNorSimulation() {
+    void keepsServingCodeFreeOfSimulatorAndSimulation() {
         check(noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void onlyTheProxyUsesNetty() {
+    void allowsNettyOnlyInProxy() {
         check(noClasses()
                 .that()
                 .resideOutsideOfPackage("loadbalancer.proxy..")
@@ -93,24 +93,27 @@
                 .resideInAPackage("io.netty.."));
     }
 
-    /** The bench and the operators read these names: a file that is missing there is not counted as a decision. */
+    /**
+     * The benchmark and the operators read this list; a file that is missing from it is not counted as decision code.
+     */
     @Test
-    void theDeployFileNamesTheSources() throws Exception {
-        Path decisions = Path.of("src/main/java/loadbalancer/decision");
+    void listsSourceFilesInDeployFile() throws Exception {
+        Path decisionFolder = Path.of("src/main/java/loadbalancer/decision");
         String expected;
-        try (Stream<Path> files = Files.list(decisions)) {
+        try (Stream<Path> files = Files.list(decisionFolder)) {
             expected = files.map(file -> "\"" + file.toString().replace('\\', '/') + "\"")
                     .sorted()
                     .collect(Collectors.joining(", ", "policy = [", "]"));
         }
-        String deploy = Files.readString(Path.of("deploy/balancer.toml"));
+        String deployFile = Files.readString(Path.of("deploy/balancer.toml"));
         assertEquals(
                 expected,
-                deploy.lines()
+                deployFile
+                        .lines()
                         .filter(line -> line.startsWith("policy"))
                         .findFirst()
                         .orElse(""));
-        assertTrue(deploy.contains("\"src/main/java/loadbalancer/proxy\""), deploy);
+        assertTrue(deployFile.contains("\"src/main/java/loadbalancer/proxy\""), deployFile);
         assertTrue(Files.isDirectory(Path.of("src/main/java/loadbalancer/proxy")));
     }
 
--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The process as its platform starts, reloads and stops it. */
+/** Starts, reloads and stops the sidecar process in the same way as the platform does. */
 @Timeout(120)
 class MainTest {
     @TempDir
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void anInvalidConfigurationEndsItWithOneLine() throws Exception {
+    void exitsWithOneLogLineOnInvalidConfiguration() throws Exception {
         Process process = start("{\"name\":\"n\"}");
         assertEquals(2, process.waitFor());
         assertEquals(1, log().size(), log().toString());
@@ -68,9 +68,9 @@
               "profiles":[{"name":"c","semantics":"safe","objective_us":1,"give_up_us":1}],
               "rules":{"drain_grace_us":1,"cold_share":0.2,"ramp_time_us":1,"fall_multiple":3,"fall_us":1}}}""";
 
-    private void awaitLine(Process process, String part) throws Exception {
-        while (log().stream().noneMatch(line -> line.contains(part))) {
-            assertTrue(process.isAlive(), "it ended: " + log());
+    private void awaitLine(Process process, String text) throws Exception {
+        while (log().stream().noneMatch(line -> line.contains(text))) {
+            assertTrue(process.isAlive(), "the process ended: " + log());
             Thread.sleep(20);
         }
     }
@@ -81,9 +81,9 @@
                 new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
     }
 
-    /** An unhandled SIGHUP would end the process. In a reload the file overrides the environment. */
+    /** An unhandled SIGHUP would end the process. A reload takes the discovery address from the file. */
     @Test
-    void aHangUpReloadsTheConfigurationAndAnInvalidOneIsRejected() throws Exception {
+    void reloadsConfigurationOnHangUpAndRejectsInvalidOne() throws Exception {
         Process process = start(CONFIG);
         awaitLine(process, "load-balancer: listening ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
@@ -98,45 +98,50 @@
         assertEquals(0, process.exitValue(), log().toString());
     }
 
-    /** An application waits while its sidecar starts: nothing is started that serving does not need. */
+    /** The application waits while its sidecar starts, so the sidecar must not start what serving does not need. */
     @Test
-    void flightRecorderIsNotStartedToServe() throws Exception {
+    void doesNotStartFlightRecorder() throws Exception {
         Path classes = folder.resolve("classes");
         Process process = start(CONFIG, "-Xlog:class+load:file=" + classes);
         awaitLine(process, "load-balancer: ready ");
         process.destroy();
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         List<String> loaded = Files.readAllLines(classes);
-        assertTrue(loaded.stream().anyMatch(l -> l.contains("io.netty.buffer.")), "the log of classes is empty");
+        assertTrue(
+                loaded.stream().anyMatch(line -> line.contains("io.netty.buffer.")),
+                "the class loading log contains no Netty class");
         assertEquals(
                 List.of(),
                 loaded.stream()
-                        .filter(l -> l.contains(" jdk.jfr.internal.PlatformEventType "))
+                        .filter(line -> line.contains(" jdk.jfr.internal.PlatformEventType "))
                         .toList());
     }
 
-    /** The first comparison of records loads a hundred classes, which blocks the loop for 0.1 s on a part of a core. */
+    /**
+     * The first comparison of records loads a hundred classes, which blocks the event loop for 0.1 s if the process has
+     * only a fraction of a core.
+     */
     @Test
-    void aReloadDoesNotCompareRecords() throws Exception {
+    void doesNotCompareRecordsOnReload() throws Exception {
         Path classes = folder.resolve("classes");
         Process process = start(CONFIG, "-Xlog:class+load:file=" + classes);
         awaitLine(process, "load-balancer: ready ");
         Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:9", "127.0.0.2:9"));
         sendHangUp(process);
         awaitLine(process, "discovery_address_changed address=/127.0.0.2:9");
-        // The event loop has applied the configuration before it handles the stop.
+        // The event loop applies the configuration before it handles the stop.
         process.destroy();
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         assertEquals(
                 List.of(),
                 Files.readAllLines(classes).stream()
-                        .filter(l -> l.contains(" java.lang.runtime.ObjectMethods "))
+                        .filter(line -> line.contains(" java.lang.runtime.ObjectMethods "))
                         .toList());
     }
 
-    /** A requested stop is no failure: the exit code is not that of the signal. */
+    /** A requested stop is not a failure, so the exit code must not be that of the signal. */
     @Test
-    void aTerminationSignalEndsItWithZero() throws Exception {
+    void exitsWithZeroOnTerminationSignal() throws Exception {
         Process process = start(CONFIG);
         awaitLine(process, "load-balancer: listening ");
         process.destroy();
--- a/src/test/java/loadbalancer/proxy/configuration/SidecarConfigurationReaderTest.java
+++ b/src/test/java/loadbalancer/proxy/configuration/SidecarConfigurationReaderTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void optionalFieldsHaveDefaults() throws Exception {
+    void usesDefaultsForOptionalFields() throws Exception {
         SidecarConfiguration configuration = SidecarConfigurationReader.read(environment(REQUIRED_FIELDS));
         assertEquals("sidecar", configuration.name());
         assertEquals(address(80), configuration.listenAddress());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void allFieldsAreRead() throws Exception {
+    void readsAllFields() throws Exception {
         SidecarConfiguration configuration = SidecarConfigurationReader.read(environment(REQUIRED_FIELDS
                 + ",\"name\":\"n3\",\"limits\":{\"sockets\":256},\"peer_listen\":\"127.0.0.1:82\","
                 + "\"peers\":[\"127.0.0.1:83\",\"127.0.0.1:84\"],\"peers_all\":\"127.0.0.1:85\""));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void theEnvironmentOverridesTheFile() throws Exception {
+    void prefersEnvironmentToFile() throws Exception {
         Map<String, String> environment = environment(REQUIRED_FIELDS + ",\"name\":\"n3\"");
         environment.put("BALANCER_NAME", "n4");
         environment.put("BALANCER_LISTEN", "127.0.0.1:90");
@@ -68,9 +68,9 @@
         assertEquals(address(91), configuration.discoveryAddress());
     }
 
-    /** The variable is that of the start, the file may be newer. */
+    /** The variable was set when the process started; the file may have been changed since. */
     @Test
-    void aReloadTakesTheDiscoveryAddressFromTheFile() throws Exception {
+    void takesDiscoveryAddressFromFileOnReload() throws Exception {
         Map<String, String> environment = environment(REQUIRED_FIELDS);
         environment.put("BALANCER_DISCOVERY", "127.0.0.1:91");
         SidecarConfiguration started = SidecarConfigurationReader.read(environment);
@@ -79,11 +79,15 @@
     }
 
     @Test
-    void anAddressThatIsNoneIsReportedByItsSource() throws Exception {
+    void namesSourceOfInvalidAddress() throws Exception {
         Map<String, String> environment = environment(REQUIRED_FIELDS);
         environment.put("BALANCER_LISTEN", "localhost");
         ConfigurationException e =
                 assertThrows(ConfigurationException.class, () -> SidecarConfigurationReader.read(environment));
-        assertTrue(e.getMessage().contains("'BALANCER_LISTEN' is no address: 'localhost'"), e.getMessage());
+        assertTrue(
+                e.getMessage()
+                        .contains("'BALANCER_LISTEN' must be an IP address and port, as in 127.0.0.1:80,"
+                                + " but is 'localhost'"),
+                e.getMessage());
     }
 }
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopMonitorTest {
-    /** Only a late loop is reported, with the longest task of the interval, and not again within a second. */
+    /** Only a late loop is reported, with the longest task of the interval, and at most once per second. */
     @Test
-    void aLateLoopIsReportedWithTheLongestTaskOfTheInterval() {
+    void reportsLateLoopWithLongestTaskOfInterval() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.taskFinished("before the start", clock.nowMicros() - 900_000);
@@ -23,9 +23,9 @@
         assertNull(monitor.checkLag(300_000));
     }
 
-    /** This tells a loop without a processor from one that was busy itself. */
+    /** The thread times show whether the loop was busy or had to wait for a processor. */
     @Test
-    void aLateLoopIsReportedWithTheTimesOfTheThreads() {
+    void reportsLateLoopWithThreadTimes() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
         monitor.start();
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Failures of the kinds that a running process meets, thrown by the load balancer: the request is answered and the
- * process serves on.
+ * The load balancer throws failures of the kinds that occur in a running process. The request has to be answered, and
+ * the process has to go on serving.
  */
 @Timeout(60)
 class FaultIsolationTest {
@@ -37,7 +37,7 @@
             });
 
     @Test
-    void aFailureInOneRequestEndsThatRequestAtOnceAndNothingElse() throws Exception {
+    void failsOnlyRequestInWhichLoadBalancerThrows() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream(StubServer.respondingWith("ok"));
             fixture.onRequest = (now, request, actions) -> {
@@ -50,7 +50,8 @@
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
                 for (int i = 0; i < FAILURES.size(); i++) {
-                    // Not answered at once this would wait for its deadline, for longer than the test may take.
+                    // A request that is not answered at once waits until its deadline, which exceeds the time limit of
+                    // the test.
                     client.send(SidecarFixture.get("failure-" + i, 60_000));
                     assertEquals(502, client.status());
                     client.send(SidecarFixture.get("next-" + i, 20_000));
@@ -60,18 +61,18 @@
         }
     }
 
-    /** The periodic maintenance closes silent connections: it goes on after a timer that failed. */
+    /** The periodic maintenance, which closes silent connections, has to go on after a timer has failed. */
     @Test
-    void periodicTasksGoOnAfterAFailure() throws Exception {
+    void runsPeriodicTasksAfterFailure() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.onRequest = (now, request, actions) -> actions.startTimer("break", 1_000);
             fixture.start();
             try (StubServer.Client active = fixture.client();
                     StubServer.Client silent = fixture.client()) {
                 active.send(SidecarFixture.get("a", 60_000));
-                // The load balancer fails in its timer, and the requests that it held are answered.
+                // The load balancer throws in its timer, and the requests without an attempt in flight are answered.
                 assertEquals(502, active.status());
-                // A silent client is still disconnected by the maintenance.
+                // The maintenance still disconnects a silent client.
                 assertEquals(true, silent.isClosedBySidecar());
             }
         }
--- a/src/test/java/loadbalancer/proxy/eventloop/LoadBalancerExecutorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/LoadBalancerExecutorTest.java
@@ -13,11 +13,11 @@
     private final MonotonicClock clock = new MonotonicClock();
     private final LoadBalancerExecutor executor = new LoadBalancerExecutor(clock, new EventLoopMonitor(clock));
     private final List<String> events = new ArrayList<>();
-    /** What the load balancer is given to act with. */
+    /** The actions that the executor passes to the load balancer. */
     private LoadBalancerActions actions;
 
-    /** Starts a load balancer that fails on each call; actions go to {@code handler}. */
-    private void start(ActionHandler handler) {
+    /** Starts a load balancer whose methods all throw. {@code handler} carries out its actions. */
+    private void start(CallHandler handler) {
         executor.start(
                 deferred -> {
                     actions = deferred;
@@ -30,11 +30,11 @@
                 stub(LoadBalancerActions.class, handler));
     }
 
-    private interface ActionHandler {
+    private interface CallHandler {
         void handle(String method, Object argument);
     }
 
-    private static <T> T stub(Class<T> type, ActionHandler handler) {
+    private static <T> T stub(Class<T> type, CallHandler handler) {
         return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, args) -> {
             handler.handle(method.getName(), args[0]);
             return null;
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void actionsAreCarriedOutWhenTheCallHasReturned() {
+    void carriesOutActionsAfterCallHasReturned() {
         start((name, argument) -> events.add(name + " " + argument));
         executor.submit(
                 "call",
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aCallMadeByAnActionWaitsForTheOtherActions() {
+    void makesCallSubmittedByActionAfterRemainingActions() {
         start((name, argument) -> {
             events.add(name + " " + argument);
             if (argument.equals("r1")) {
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aFailedCallIsReportedAndTheNextOneIsMade() {
+    void reportsFailedCallAndMakesNextCall() {
         start((name, argument) -> {});
         events.clear();
         executor.submit("failing", loadBalancer -> loadBalancer.onTimer(0, "t"), () -> events.add("failed"));
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aFailedActionDoesNotPreventTheNextOne() {
+    void carriesOutNextActionAfterFailedAction() {
         start((name, argument) -> {
             if (argument.equals("r1")) {
                 throw new IllegalStateException("thrown by the test");
--- a/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
+++ b/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
@@ -11,6 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/**
+ * Guards against datagrams that are sent to unknown peers or accepted from unknown senders, and against datagrams of
+ * more than 256 bytes in both directions.
+ */
 @Timeout(60)
 class GossipTransportTest {
     private static DatagramSocket socket() throws Exception {
@@ -26,20 +30,20 @@
     }
 
     @Test
-    void onlyDatagramsOfPeersWithinTheLimitArePassedOn() throws Exception {
+    void exchangesOnlyDatagramsWithinSizeLimitWithPeers() throws Exception {
         try (DatagramSocket peer = socket();
-                DatagramSocket stranger = socket();
-                DatagramSocket everyone = socket();
+                DatagramSocket unknownSender = socket();
+                DatagramSocket broadcastReceiver = socket();
                 SidecarFixture fixture = new SidecarFixture()) {
             fixture.gossipFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
-                    + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
-            fixture.onRequest = (now, request, out) -> {
-                out.sendGossip(1, new byte[5]);
-                out.sendGossip(7, new byte[5]);
-                out.sendGossip(1, new byte[257]);
-                out.sendGossip(1, new byte[256]);
-                out.sendGossip(-1, new byte[7]);
-                out.fail(request.id());
+                    + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + broadcastReceiver.getLocalPort() + "\",";
+            fixture.onRequest = (now, request, actions) -> {
+                actions.sendGossip(1, new byte[5]);
+                actions.sendGossip(7, new byte[5]);
+                actions.sendGossip(1, new byte[257]);
+                actions.sendGossip(1, new byte[256]);
+                actions.sendGossip(-1, new byte[7]);
+                actions.fail(request.id());
             };
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
@@ -49,10 +53,10 @@
             DatagramPacket first = receive(peer);
             assertEquals(5, first.getLength());
             assertEquals(256, receive(peer).getLength());
-            assertEquals(7, receive(everyone).getLength());
+            assertEquals(7, receive(broadcastReceiver).getLength());
 
             InetSocketAddress sidecar = (InetSocketAddress) first.getSocketAddress();
-            stranger.send(new DatagramPacket(new byte[3], 3, sidecar));
+            unknownSender.send(new DatagramPacket(new byte[3], 3, sidecar));
             peer.send(new DatagramPacket(new byte[257], 257, sidecar));
             peer.send(new DatagramPacket(new byte[0], 0, sidecar));
             peer.send(new DatagramPacket(new byte[256], 256, sidecar));
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A reloaded configuration is in force without a restart, or not at all. */
+/**
+ * A reload applies a valid configuration as a whole and without a restart. An invalid configuration changes nothing.
+ */
 @Timeout(60)
 class ConfigurationReloadTest {
     private static String get(String requestId, String requestClass) {
@@ -27,9 +29,9 @@
         }
     }
 
-    /** One class is replaced by another and the number of attempts is reduced. */
+    /** The reload replaces one request class by another and reduces the maximum number of attempts. */
     @Test
-    void newSettingsHoldForNewRequestsAndRequestsInFlightAreAnswered() throws Exception {
+    void appliesNewSettingsToNewRequestsAndAnswersRequestsInFlight() throws Exception {
         CountDownLatch reloaded = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
             StubServer endpoint = fixture.upstream((request, connection) -> {
@@ -70,11 +72,11 @@
     }
 
     @Test
-    void invalidSettingsAreNamedAndNoneOfThemIsUsed() throws Exception {
+    void rejectsInvalidSettingsByNameAndAppliesNone() throws Exception {
         String[][] replacementsAndMessages = {
             {"\"me\":0", "\"me\":2", "'me'"},
             {"\"name\":\"k\"", "\"name\":\"c\"", "'c' twice"},
-            {"\"objective_us\":300000", "\"objective_us\":0", "no time"},
+            {"\"objective_us\":300000", "\"objective_us\":0", "'c' is out of range: 'objective_us'"},
             {"\"cold_share\":0.2", "\"cold_share\":0", "'rules'"},
             {"\"max_attempts\":4", "\"max_attempts\":0", "'limits'"},
             {"\"discovery\":\"on_request\"", "\"discovery\":\"pushed\"", "'discovery'"},
@@ -83,11 +85,11 @@
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream(StubServer.echoingRequestId());
             fixture.start();
-            for (String[] row : replacementsAndMessages) {
-                fixture.settings = SidecarFixture.SETTINGS.replace(row[0], row[1]);
+            for (String[] replacementAndMessage : replacementsAndMessages) {
+                fixture.settings = SidecarFixture.SETTINGS.replace(replacementAndMessage[0], replacementAndMessage[1]);
                 ConfigurationException e =
                         assertThrows(ConfigurationException.class, () -> fixture.reload("127.0.0.1:9"));
-                assertTrue(e.getMessage().contains(row[2]), e.getMessage());
+                assertTrue(e.getMessage().contains(replacementAndMessage[2]), e.getMessage());
             }
             try (StubServer.Client client = fixture.client()) {
                 assertEquals("r", client.send(get("r", "c")).readResponse().body());
@@ -96,9 +98,9 @@
         }
     }
 
-    /** Where only the discovery address has changed, the load balancer keeps what it has learned. */
+    /** If only the discovery address changes, the load balancer has to keep what it has learned. */
     @Test
-    void unchangedSettingsAreNotReported() throws Exception {
+    void doesNotNotifyLoadBalancerOfUnchangedSettings() throws Exception {
         String endpoints = SidecarFixture.list(7, true, SidecarFixture.entry("u5", "127.0.0.1:9", "Ready", 0));
         try (SidecarFixture fixture = new SidecarFixture();
                 StubServer otherDiscovery = new StubServer(StubServer.respondingWith(endpoints))) {
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorBudgetTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorBudgetTest.java
@@ -6,12 +6,12 @@
 
 class DescriptorBudgetTest {
     @Test
-    void descriptorsAreReservedAndClientsGetFiveEighthsOfTheRest() {
+    void reservesDescriptorsAndAssignsFiveEighthsOfTheRestToClients() {
         assertEquals(new DescriptorBudget(1024 - 48, 610, 85), DescriptorBudget.of(1024));
     }
 
     @Test
-    void aSmallLimitStillAllowsSomeConnections() {
+    void allowsSomeConnectionsWithSmallLimit() {
         assertEquals(new DescriptorBudget(32, 20, 1), DescriptorBudget.of(12));
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
@@ -12,15 +12,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Idle clients may use up their part of the descriptors while discovery is away; the rest stays usable. */
+/**
+ * Clients use up the descriptors that client connections may have, or wait in the backlog for one. The other
+ * descriptors have to stay usable for discovery and upstream connections.
+ */
 @Timeout(60)
 class DescriptorLimitTest {
-    /** For files, logs and class files, the listeners, and the connection to discovery. */
+    /** Descriptors for files, logs and class files, the listening sockets, and the connection to discovery. */
     private static final int RESERVED_DESCRIPTORS = 48;
 
     @ParameterizedTest
     @ValueSource(ints = {256, 1024})
-    void idleClientsLeaveDescriptorsForDiscoveryUpstreamsAndActiveClients(int descriptorLimit) throws Exception {
+    void keepsDescriptorsForDiscoveryUpstreamsAndActiveClients(int descriptorLimit) throws Exception {
         List<StubServer.Client> idleClients = new ArrayList<>();
         try (SidecarFixture fixture = new SidecarFixture((request, connection) -> {})) {
             fixture.descriptorLimit = descriptorLimit;
@@ -31,7 +34,8 @@
                 for (int i = 0; i < descriptorLimit; i++) {
                     idleClients.add(fixture.client());
                 }
-                // Behind all of them in the backlog: silent clients are closed after a while and make room.
+                // This client waits in the backlog behind all idle clients. It is accepted because connections of
+                // silent clients are closed after a while.
                 try (StubServer.Client active = fixture.client()) {
                     active.send(SidecarFixture.get("active", 20_000));
                     assertEquals("served", active.readResponse().body());
@@ -55,7 +59,8 @@
 
     private static void assertConnectionsWithinLimit(SidecarFixture fixture, int descriptorLimit) throws Exception {
         int openConnections = fixture.sidecar.openConnections();
-        assertTrue(openConnections <= descriptorLimit - RESERVED_DESCRIPTORS, openConnections + " are open");
+        assertTrue(
+                openConnections <= descriptorLimit - RESERVED_DESCRIPTORS, openConnections + " connections are open");
     }
 
     private static void closeAll(List<StubServer.Client> clients) throws Exception {
@@ -64,11 +69,11 @@
         }
     }
 
-    /** While accepting is paused a request ages in the backlog: it has less time than its header says. */
+    /** A request that waits in the backlog while accepting is paused has less time left than its header states. */
     @Test
-    void theTimeInTheBacklogIsDeductedFromTheRemainingTime() throws Exception {
+    void deductsTimeInBacklogFromRemainingTime() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            // 32 connections in all, 20 of them the clients'.
+            // Allows 32 connections, of which 20 may be client connections.
             fixture.descriptorLimit = 80;
             fixture.onRequest = (now, request, actions) -> {
                 if (!request.id().startsWith("held")) {
@@ -90,7 +95,7 @@
                     assertTrue(
                             remainingMicros > 5_000_000 && remainingMicros < 9_100_000, "remaining " + remainingMicros);
                 }
-                // Later, with a free descriptor and an empty backlog, a request has all of its time.
+                // With a free descriptor and an empty backlog, nothing is deducted from the time of a later request.
                 busyClients.remove(0).close();
                 try (StubServer.Client later = fixture.client()) {
                     Thread.sleep(200);
--- a/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A graceful shutdown answers all that a client has sent. */
+/** A graceful shutdown answers every request that a client has sent. */
 @Timeout(60)
 class GracefulShutdownTest {
-    /** Echoes the request's identifier, for identifiers with the prefix only once the latch is released. */
-    private static StubServer.Script holding(String prefix, CountDownLatch released) {
+    /** Echoes the request id; if the id has the prefix, only after the latch is released. */
+    private static StubServer.Script echoingIdAndHolding(String prefix, CountDownLatch released) {
         return (request, connection) -> {
             if (request.header("X-Txn").startsWith(prefix)) {
                 StubServer.awaitLatch(released);
@@ -29,10 +29,10 @@
     }
 
     @Test
-    void newConnectionsAndPartialRequestsAreServedDuringTheShutdown() throws Exception {
+    void servesNewConnectionsAndPartialRequestsDuringShutdown() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             CountDownLatch released = new CountDownLatch(1);
-            fixture.upstream(holding("held", released));
+            fixture.upstream(echoingIdAndHolding("held", released));
             fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
             try (StubServer.Client held = fixture.client();
@@ -50,11 +50,11 @@
                     assertLastResponse("later", connectedLater.readResponse());
                     assertEquals(null, connectedLater.readResponse());
                 }
-                // An idle connection is closed; until then it is served.
+                // The idle connection is closed; until then it would be served.
                 assertEquals(null, idle.readResponse());
                 partial.send(partialRequest.substring(30));
                 assertLastResponse("partial", partial.readResponse());
-                assertEquals(1, stopped.getCount(), "it stopped with a request in flight");
+                assertEquals(1, stopped.getCount(), "the sidecar stopped with a request in flight");
                 released.countDown();
                 assertEquals("held", held.readResponse().body());
                 assertEquals(null, held.readResponse());
@@ -64,16 +64,16 @@
     }
 
     /**
-     * Without a free descriptor clients wait in the backlog, where closing the listener would reset them. That idle
-     * connections are closed shows that the listener might be closed by then.
+     * If no descriptor is free, clients wait in the backlog, and closing the listener would reset their connections.
+     * The test waits until idle connections are closed, because from then on the shutdown may close the listener too.
      */
     @Test
-    void clientsThatWaitInTheBacklogForDescriptorsAreServed() throws Exception {
+    void servesClientsThatWaitInBacklogForDescriptors() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer endpoint = fixture.upstream(holding("held", released));
-            // 48 are reserved. 15 requests, each with a client's and an upstream connection, and 2 idle clients take
-            // the rest.
+            StubServer endpoint = fixture.upstream(echoingIdAndHolding("held", released));
+            // 48 descriptors are reserved. The other 32 are used by 15 requests, each with a client connection and an
+            // upstream connection, and by 2 idle clients.
             fixture.descriptorLimit = 48 + 32;
             fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
@@ -109,9 +109,9 @@
         assertEquals(404, client.status());
     }
 
-    /** The platform kills the process a while after the longest deadline: a later answer would not be sent. */
+    /** The platform kills the process some time after the longest deadline; a later response would not be sent. */
     @Test
-    void requestsDuringTheShutdownAreDueBeforeTheProcessIsKilled() throws Exception {
+    void limitsDeadlinesDuringShutdownToTimeBeforeProcessIsKilled() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream((request, connection) -> {});
             fixture.start();
@@ -127,9 +127,9 @@
         }
     }
 
-    /** A partial request whose client sends no more delays the end no longer than a client would wait. */
+    /** A client that stops sending in the middle of a request must not delay the end for longer than a client waits. */
     @Test
-    void aSilentClientDoesNotPreventTheEnd() throws Exception {
+    void completesShutdownDespiteSilentClient() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
@@ -142,9 +142,9 @@
         }
     }
 
-    /** An application that opens a connection for each request would otherwise use up its part of the descriptors. */
+    /** Otherwise an application that opens a connection for each request would use up the descriptors for clients. */
     @Test
-    void beyondTheIdleConnectionsResponsesCloseTheirConnection() throws Exception {
+    void closesConnectionWithResponseBeyondIdleLimit() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream(StubServer.respondingWith("ok"));
             fixture.descriptorLimit = 120;
@@ -157,16 +157,16 @@
                 assertEquals(i < 120 / 12 ? null : "close", connectionHeader, "connection " + i);
             }
             assertTrue(clients[clients.length - 1].isClosedBySidecar());
-            // A connection that is used again, or is closed, is no idle one.
+            // A connection that is in use again or is closed does not count as idle.
             clients[0].send(SidecarFixture.get("again", 30_000));
             assertEquals(null, clients[0].readResponse().header("Connection"));
             closeAll(clients);
         }
     }
 
-    /** Beyond the limit the longest idle connection is closed; otherwise new clients would wait for ever. */
+    /** At the limit, the longest idle connection is closed; otherwise new clients would wait forever. */
     @Test
-    void idleClientsMakeRoomForNewOnes() throws Exception {
+    void closesLongestIdleConnectionForNewClient() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream(StubServer.respondingWith("ok"));
             fixture.descriptorLimit = 64 + 2 * 16;
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The event loop is blocked for a while, with requests, deadlines and bytes waiting on real sockets. */
+/** The event loop is blocked for some time while deadlines pass and data waits in real sockets. */
 @Timeout(60)
 class LateEventLoopTest {
     private static final long BLOCKED_MILLIS = 600;
     private static final long SHORT_DEADLINE_MILLIS = 300;
     private static final long LONG_DEADLINE_MILLIS = 20_000;
-    /** The loop measures its lag by a periodic task, which was due within a tenth of a second. */
+    /** The lag is measured by a periodic task, which was due at most 100 ms after the loop was blocked. */
     private static final long MIN_MEASURED_LAG_MILLIS = BLOCKED_MILLIS - 200;
 
     @Test
-    void overdueAnswersPrecedeNewRequestsAndRequestsThatWaitedTooLongAreRefused() throws Exception {
+    void answersOverdueRequestsFirstAndFailsRequestsThatWaitedTooLong() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream(StubServer.respondingWith("ok"));
             fixture.onRequest = (now, request, actions) -> {
@@ -40,7 +40,7 @@
                 second.send(SidecarFixture.get("held-2", SHORT_DEADLINE_MILLIS));
                 fixture.await("request held-2");
                 CountDownLatch unblocked = blockEventLoop(fixture);
-                // Both wait in their sockets for as long as the loop is blocked.
+                // Both requests wait in their sockets while the loop is blocked.
                 tooLate.send(SidecarFixture.get("short", SHORT_DEADLINE_MILLIS));
                 inTime.send(SidecarFixture.get("long", LONG_DEADLINE_MILLIS));
                 Thread.sleep(BLOCKED_MILLIS);
@@ -65,7 +65,7 @@
         assertTrue(remainingMicros <= (LONG_DEADLINE_MILLIS - MIN_MEASURED_LAG_MILLIS) * 1000, events::toString);
     }
 
-    /** Returns when the event loop is blocked, until the latch is released. */
+    /** Blocks the event loop until the returned latch is released. Returns once the loop is blocked. */
     private static CountDownLatch blockEventLoop(SidecarFixture fixture) throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch unblocked = new CountDownLatch(1);
@@ -77,9 +77,9 @@
         return unblocked;
     }
 
-    /** Answers are due earlier by the recent lag, but by a quarter of the remaining time at most. */
+    /** Responses are due earlier by the recent lag, but by at most a quarter of the remaining time. */
     @Test
-    void answersAreDueEarlierAfterALag() throws Exception {
+    void makesResponsesDueEarlierAfterLag() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.onRequest = (now, request, actions) -> {};
             fixture.start();
@@ -89,10 +89,10 @@
                     .nettyEventLoop()
                     .submit(() -> fixture.eventLoop.recordLag(1_000_000))
                     .sync();
-            long afterLag = remainingMicrosOf(fixture, "after", LONG_DEADLINE_MILLIS);
-            assertTrue(afterLag < (LONG_DEADLINE_MILLIS - 700) * 1000, "remaining " + afterLag);
-            long shortDeadline = remainingMicrosOf(fixture, "quarter", 400);
-            assertTrue(shortDeadline <= 300_000, "remaining " + shortDeadline);
+            long remainingAfterLag = remainingMicrosOf(fixture, "after", LONG_DEADLINE_MILLIS);
+            assertTrue(remainingAfterLag < (LONG_DEADLINE_MILLIS - 700) * 1000, "remaining " + remainingAfterLag);
+            long remainingOfShortDeadline = remainingMicrosOf(fixture, "quarter", 400);
+            assertTrue(remainingOfShortDeadline <= 300_000, "remaining " + remainingOfShortDeadline);
         }
     }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A warm-up serves some requests before readiness, and ends with the first request of a client. */
+/** A warm-up serves some requests before the sidecar is ready, and ends when the first request of a client arrives. */
 @Timeout(60)
 class StartupWarmUpTest {
     @Test
-    void itServesSomeRequestsThroughTheLoadBalancerAndTheSockets() throws Exception {
+    void servesSomeRequestsThroughLoadBalancerAndSockets() throws Exception {
         AtomicInteger servedAttempts = new AtomicInteger();
         CountDownLatch enoughServed = new CountDownLatch(1);
-        LoadBalancerFactory counting = (config, now, actions) -> {
+        LoadBalancerFactory countingFactory = (config, now, actions) -> {
             LoadBalancer policy = new LoadBalancingPolicy(config.settings(), config.seed(), now, actions);
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(),
@@ -42,28 +42,28 @@
                         + "\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":" + SidecarFixture.list(1, true)
                         + ",\"settings\":"
                         + SidecarFixture.SETTINGS + "}"),
-                counting);
+                countingFactory);
         warmUp.run();
         assertTrue(enoughServed.await(0, TimeUnit.SECONDS), servedAttempts + " were served");
-        // The application waits for the end of the warm-up.
+        // The number of requests is limited because the application waits for the end of the warm-up.
         assertTrue(servedAttempts.get() < 20, servedAttempts + " were served");
     }
 
     @Test
-    void untilItsEndTheSidecarIsNotReadyButServesARequestWhichEndsIt() throws Exception {
-        CountDownLatch interrupted = new CountDownLatch(1);
+    void servesRequestBeforeReadinessAndThenEndsWarmUp() throws Exception {
+        CountDownLatch warmUpInterrupted = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream(StubServer.respondingWith("ok"));
-            fixture.warmUpInterrupt = interrupted::countDown;
+            fixture.warmUpInterrupt = warmUpInterrupted::countDown;
             fixture.start();
             fixture.await("list DELTA");
             try (StubServer.Client client = fixture.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.status());
-                assertEquals(1, interrupted.getCount());
+                assertEquals(1, warmUpInterrupted.getCount());
                 client.send(SidecarFixture.get("a1", 20_000));
                 assertEquals(200, client.status());
-                assertTrue(interrupted.await(20, TimeUnit.SECONDS));
+                assertTrue(warmUpInterrupted.await(20, TimeUnit.SECONDS));
                 fixture.sidecar.warmUpCompleted();
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(200, client.status());
--- a/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/SidecarLogTest.java
@@ -12,19 +12,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Lines are dropped and counted where nobody reads the log. */
+/** If nobody reads the log, lines are dropped and counted, so that logging never blocks its caller. */
 @Timeout(60)
 class SidecarLogTest {
     private static final String MARKER = "sidecar_log_test line=";
 
-    /** A pipe that nobody reads: a write to it blocks until it is released. */
+    /** Acts as a pipe that nobody reads: each write blocks until the stream is released. */
     private static final class BlockedStream extends ByteArrayOutputStream {
-        final CountDownLatch reached = new CountDownLatch(1);
+        final CountDownLatch writeStarted = new CountDownLatch(1);
         final CountDownLatch released = new CountDownLatch(1);
 
         @Override
         public void write(byte[] bytes, int from, int length) {
-            reached.countDown();
+            writeStarted.countDown();
             try {
                 released.await();
             } catch (InterruptedException e) {
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void loggingNeverBlocks() throws Exception {
+    void dropsAndCountsLinesInsteadOfBlocking() throws Exception {
         PrintStream originalErr = System.err;
         BlockedStream pipe = new BlockedStream();
         System.setErr(new PrintStream(pipe, true));
         try {
             SidecarLog.info(MARKER + "first");
-            assertTrue(pipe.reached.await(20, TimeUnit.SECONDS));
-            int lines = 2 * SidecarLog.MAX_PENDING;
+            assertTrue(pipe.writeStarted.await(20, TimeUnit.SECONDS));
+            int lines = 2 * SidecarLog.MAX_PENDING_LINES;
             for (int i = 0; i < lines; i++) {
                 SidecarLog.info(MARKER + i);
             }
@@ -62,9 +62,9 @@
                     .findFirst()
                     .orElseThrow();
             int dropped = Integer.parseInt(droppedLine.replace("load-balancer: log_lines_dropped count=", ""));
-            // Others may log in this process too.
+            // Other code in this process may log too.
             assertTrue(
-                    pipe.markedLines().size() <= SidecarLog.MAX_PENDING + 1,
+                    pipe.markedLines().size() <= SidecarLog.MAX_PENDING_LINES + 1,
                     pipe.markedLines().size() + " lines");
             assertTrue(
                     pipe.markedLines().size() + dropped >= lines + 1,
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aQuotedValueIsOneWordOfOneLine() {
+    void quotesValueWithoutInnerQuotesAndLineBreaks() {
         assertEquals("\"a 'b' c d\"", SidecarLog.quote("a \"b\" c\nd"));
         assertEquals("\"null\"", SidecarLog.quote(null));
     }
--- a/src/test/java/loadbalancer/proxy/observability/TrafficStatisticsTest.java
+++ b/src/test/java/loadbalancer/proxy/observability/TrafficStatisticsTest.java
@@ -7,7 +7,7 @@
 
 class TrafficStatisticsTest {
     @Test
-    void totalsAreByClassAndAreResetAfterwards() {
+    void countsByRequestClassAndResetsTotals() {
         TrafficStatistics statistics = new TrafficStatistics();
         assertEquals(null, statistics.summarizeAndReset(0, 0, 0));
         statistics.requestAccepted("a");
