--- a/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SettingsValidator.java
@@ -20,7 +20,8 @@
      * Checks that the reloaded settings are within their ranges and that a reload can change the current settings to
      * them.
      *
-     * @throws ConfigurationException if a setting is out of range or can't be changed by a reload; names the first one
+     * @throws ConfigurationException if a setting is out of range or can't be changed by a reload. The message names
+     *     the setting
      */
     static void validate(LoadBalancerSettings reloaded, LoadBalancerSettings current) throws ConfigurationException {
         require(
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
@@ -57,7 +57,7 @@
     public static SidecarConfiguration read(Map<String, String> environment) throws ConfigurationException {
         byte[] json = readFile(environment);
         try {
-            return new SidecarConfigurationReader(JsonObject.parse(json), environment).configuration();
+            return new SidecarConfigurationReader(JsonObject.parse(json), environment).readConfiguration();
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException("configuration: " + e.getMessage());
         } catch (InvalidSettingsException e) {
@@ -93,7 +93,7 @@
         }
     }
 
-    private SidecarConfiguration configuration() {
+    private SidecarConfiguration readConfiguration() {
         Map<String, String> flattenedSettings = file.object(SETTINGS).flattened();
         LoadBalancerSettings settings = new SettingsReader(flattenedSettings).read();
         return new SidecarConfiguration(
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -9,7 +9,7 @@
  */
 public final class EventLoopMonitor {
     /** The event loop is reported as late if its lag exceeds this time. */
-    private static final long LATE_MICROS = 100_000;
+    private static final long LATE_THRESHOLD_MICROS = 100_000;
     /** Shortest time between two reports, because a report itself takes time on a loop that is already late. */
     private static final long MIN_REPORT_INTERVAL_MICROS = 1_000_000;
 
@@ -60,7 +60,7 @@
     public String checkLag(long lagMicros) {
         String line = null;
         if (baseline != null
-                && lagMicros > LATE_MICROS
+                && lagMicros > LATE_THRESHOLD_MICROS
                 && clock.nowMicros() - lastReportMicros > MIN_REPORT_INTERVAL_MICROS) {
             line = report(lagMicros);
         }
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -73,35 +73,35 @@
     }
 
     /**
-     * Sends a message to the peer with this index, or to all peers if it is {@link LoadBalancerActions#ALL_SIDECARS}.
-     * Does nothing if the peer is unknown or the message is too long.
+     * Sends a message to a peer, or to all peers if {@code peerIndex} is {@link LoadBalancerActions#ALL_SIDECARS}. Does
+     * nothing if the peer is unknown or the message is too long.
      */
-    public void send(int peer, byte[] message) {
-        InetSocketAddress recipient = recipient(peer);
+    public void send(int peerIndex, byte[] message) {
+        InetSocketAddress recipient = recipient(peerIndex);
         if (channel != null && recipient != null && message.length <= MAX_DATAGRAM_BYTES) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), recipient));
         }
     }
 
     /** Returns the address to send to, or null if there is no such peer. */
-    private InetSocketAddress recipient(int peer) {
-        if (peer == LoadBalancerActions.ALL_SIDECARS) {
+    private InetSocketAddress recipient(int peerIndex) {
+        if (peerIndex == LoadBalancerActions.ALL_SIDECARS) {
             return broadcastAddress;
         }
-        return peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
+        return peerIndex >= 0 && peerIndex < peers.size() ? peers.get(peerIndex) : null;
     }
 
     /** Passes the gossip of peers to the load balancer. */
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            Integer peer = peerIndexesByAddress.get(packet.sender());
-            if (peer == null || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
+            Integer peerIndex = peerIndexesByAddress.get(packet.sender());
+            if (peerIndex == null || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
             loadBalancerExecutor.submit(
-                    "gossip", loadBalancer -> loadBalancer.onGossip(clock.nowMicros(), peer, message), () -> {});
+                    "gossip", loadBalancer -> loadBalancer.onGossip(clock.nowMicros(), peerIndex, message), () -> {});
         }
 
         /** Ignores the failure: an earlier datagram could not be delivered, and the socket remains usable. */
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -156,7 +156,10 @@
                 stallTimeoutMicros(settings));
     }
 
-    /** Returns a quarter of the shortest latency objective, which leaves enough time for another attempt. */
+    /**
+     * Returns a quarter of the shortest latency objective, which leaves enough time for another attempt, but at least
+     * {@link #MIN_STALL_TIMEOUT_MICROS}.
+     */
     private static long stallTimeoutMicros(LoadBalancerSettings settings) {
         long shortestObjectiveMicros = settings.requestClasses().stream()
                 .mapToLong(RequestClass::latencyObjectiveMicros)
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -52,7 +52,7 @@
         Sidecar sidecar = new Sidecar(configuration, SidecarProcess::newLoadBalancer);
         StartupWarmUp warmUp = new StartupWarmUp(configuration, SidecarProcess::newLoadBalancer);
         sidecar.holdReadinessForWarmUp(warmUp::cancel);
-        if (!start(sidecar)) {
+        if (!tryStart(sidecar)) {
             return EXIT_START_FAILED;
         }
         stopOnTermination(sidecar);
@@ -73,7 +73,8 @@
         return new LoadBalancingPolicy(configuration.settings(), configuration.seed(), nowMicros, actions);
     }
 
-    private static boolean start(Sidecar sidecar) {
+    /** Returns true if the sidecar has started; otherwise logs the failure and returns false. */
+    private static boolean tryStart(Sidecar sidecar) {
         try {
             sidecar.start();
             return true;
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -35,7 +35,7 @@
      * code to be compiled earlier. The number is fixed instead of depending on the latency, because the latency may
      * stay high on a shared processor.
      */
-    private static final int MAX_REQUESTS = 12;
+    private static final int MAX_RESPONSES = 12;
     /** Enough concurrent requests to keep the event loop busy, but too few to overload an endpoint. */
     private static final int CLIENT_CONNECTIONS = 3;
 
@@ -50,7 +50,7 @@
     StartupWarmUp(SidecarConfiguration configuration, LoadBalancerFactory loadBalancerFactory) {
         this.configuration = configuration;
         this.loadBalancerFactory = loadBalancerFactory;
-        client = new WarmUpClient(configuration.settings().requestClasses(), MAX_REQUESTS);
+        client = new WarmUpClient(configuration.settings().requestClasses(), MAX_RESPONSES);
     }
 
     /** Ends the warm-up early. May be called from any thread, also before {@link #run}. */
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Runs the warm-up, blocks until it has ended and returns the number of requests that were served. A failure is
+     * Runs the warm-up, blocks until it has ended and returns the number of requests that were answered. A failure is
      * logged, not thrown.
      */
     int run() {
