--- a/src/main/java/loadbalancer/decision/EndpointAvailability.java
+++ b/src/main/java/loadbalancer/decision/EndpointAvailability.java
@@ -1,15 +1,20 @@
 package loadbalancer.decision;
 
-/** Decides whether an endpoint can take a request now, by its health, the rules for sends and its load. */
+/**
+ * Decides whether an endpoint can take a request now. It can if it is healthy, the rules allow the send and the
+ * endpoint has enough spare capacity.
+ */
 final class EndpointAvailability {
-    /** Requests; estimated loads are fractional, and below this an endpoint counts as idle. */
+    /** An endpoint whose load is below this number of requests counts as idle; estimated loads are fractional. */
     private static final double IDLE_LOAD = 0.5;
-    /** Requests; a load this far below the number of cores leaves a core free. */
+    /** An endpoint has a free core if its load is below its number of cores by more than this, in requests. */
     private static final double FREE_CORE_TOLERANCE = 0.5;
-    /** Requests by which a sampled load may exceed the limit: half of one, since sampled loads are whole numbers. */
-    private static final double SAMPLED_TOLERANCE = 0.5;
-    /** Requests by which an estimated load may exceed the limit. */
-    private static final double ESTIMATE_TOLERANCE = 0.01;
+    /**
+     * Requests by which a sampled load may exceed the load limit: half of one, because sampled loads are whole numbers.
+     */
+    private static final double SAMPLED_LOAD_TOLERANCE = 0.5;
+    /** Requests by which an estimated load may exceed the load limit. */
+    private static final double ESTIMATED_LOAD_TOLERANCE = 0.01;
 
     private final PolicySettings settings;
     private final OutlierDetector outliers;
@@ -33,18 +38,21 @@
         this.speeds = speeds;
     }
 
-    /** Whether the endpoint is healthy, may be sent the request and has the room that is needed. */
-    boolean canTake(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, RoomNeeded needed) {
+    /**
+     * Returns whether the endpoint is healthy, the rules allow the send and the endpoint has the required spare
+     * capacity.
+     */
+    boolean canTake(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, CapacityRequirement requirement) {
         if (!outliers.isAvailable(endpoint, nowMicros) || !eligibility.maySend(nowMicros, request, endpoint)) {
             return false;
         }
         double capacityRatio = slowStart.capacityRatio(endpoint, nowMicros);
         double cores = Math.max(1, endpoint.machineType().cores()) * capacityRatio;
         double load = loads.load(endpoint, nowMicros);
-        if (needed == RoomNeeded.FREE_CORE) {
+        if (requirement == CapacityRequirement.FREE_CORE) {
             return load < Math.max(1, Math.round(cores)) - FREE_CORE_TOLERANCE;
         }
-        double tolerance = settings.samplesLoad() ? SAMPLED_TOLERANCE : ESTIMATE_TOLERANCE;
+        double tolerance = settings.samplesLoad() ? SAMPLED_LOAD_TOLERANCE : ESTIMATED_LOAD_TOLERANCE;
         if (load + 1 > Math.max(1, LoadEstimator.maxLoad(cores)) + tolerance) {
             return false;
         }
--- a/src/main/java/loadbalancer/decision/EndpointRouting.java
+++ b/src/main/java/loadbalancer/decision/EndpointRouting.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Wires the endpoints of one policy with the parts that decide how requests are split over them. */
+/** Creates and connects the endpoint registry of one load balancing policy and the components that route to it. */
 final class EndpointRouting {
     final IdleConnectionPolicy idleConnections;
     final EndpointRegistry registry;
--- a/src/main/java/loadbalancer/decision/EndpointSelector.java
+++ b/src/main/java/loadbalancer/decision/EndpointSelector.java
@@ -3,12 +3,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the endpoint for a request: by sampled load where health checks are allowed and cheap, else by HALO_PoD on
- * the estimated load.
+ * Selects the endpoint for a request: by sampled load if health checks are allowed and cheap, otherwise by HALO_PoD
+ * with the estimated load.
  *
- * <p>Without sampling there are up to three tries. Where crossing zones has a price, the first is among the endpoints
- * of the local zone or, for the part of the requests that exceeds the zone's share, of the other zones. The second is
- * among all endpoints with a free core, the third among all with any room.
+ * <p>Without sampling, the selector makes up to three tries. If the local zone is preferredCandidates, the first try
+ * considers only the endpoints of the local zone or, for requests that exceed the local zone's fraction of the traffic,
+ * only those of the other zones. The second try considers all endpoints with a free core, the third all endpoints below
+ * their load limit.
  */
 final class EndpointSelector {
     private final PolicySettings settings;
@@ -36,19 +37,21 @@
         this.sampledLoad = sampledLoad;
     }
 
-    /** The endpoint for the request, or null where it has to wait. */
+    /** Returns the endpoint for the request, or null if the request has to wait. */
     TrackedEndpoint select(long nowMicros, PendingRequest request) {
         routingRefresher.refreshIfDue(nowMicros);
         if (settings.samplesLoad()) {
             return sampledLoad.select(nowMicros, request);
         }
-        WeightedSampler preferred = staysInLocalZone() ? routingTable.inLocalZone() : routingTable.inOtherZones();
-        TrackedEndpoint endpoint = powerOfTwo.select(nowMicros, request, preferred, RoomNeeded.BELOW_LIMIT, null);
+        WeightedSampler preferredCandidates =
+                staysInLocalZone() ? routingTable.inLocalZone() : routingTable.inOtherZones();
+        TrackedEndpoint endpoint =
+                powerOfTwo.select(nowMicros, request, preferredCandidates, CapacityRequirement.BELOW_LIMIT, null);
         if (endpoint == null) {
-            endpoint = powerOfTwo.select(nowMicros, request, routingTable.all(), RoomNeeded.FREE_CORE, null);
+            endpoint = powerOfTwo.select(nowMicros, request, routingTable.all(), CapacityRequirement.FREE_CORE, null);
         }
         if (endpoint == null) {
-            endpoint = powerOfTwo.select(nowMicros, request, routingTable.all(), RoomNeeded.BELOW_LIMIT, null);
+            endpoint = powerOfTwo.select(nowMicros, request, routingTable.all(), CapacityRequirement.BELOW_LIMIT, null);
         }
         return endpoint;
     }
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -6,25 +6,26 @@
 import java.util.Map;
 
 /**
- * Decides which endpoints this sidecar keeps connections to: all, or, where connections have a price, a subset.
+ * Decides which endpoints this sidecar keeps connections to: all of them or, if connections have a price, a subset.
  *
- * <p>The endpoints of each zone and machine type form a circle in an order that all sidecars share, and the subset
- * holds an arc of each circle. The sidecar's index determines where its arcs start, so that the subsets cover the
- * endpoints evenly and a change of the endpoint list shifts an arc by one place at most. The length of the arcs is
- * proportional to the sidecar's part of the fleet's rate, so that the number of sidecars that use an endpoint does not
- * depend on the size of the fleet.
+ * <p>The endpoints of each zone and machine type form a ring, in an order that is the same on all sidecars, and the
+ * subset contains a segment of consecutive endpoints of each ring. The sidecar's index determines where its segments
+ * start, so that the subsets of all sidecars cover the endpoints evenly and a change of the endpoint list shifts a
+ * segment by one position at most. The length of the segments is proportional to the sidecar's fraction of the fleet's
+ * request rate, so that the number of sidecars that use an endpoint does not depend on the size of the fleet.
  */
 final class EndpointSubset {
-    private static final long UPDATE_MICROS = 500_000;
-    /** Least number of endpoints: the two of a draw and one in reserve. */
+    private static final long UPDATE_INTERVAL_MICROS = 500_000;
+    /** Minimum number of endpoints: two for a draw and one spare. */
     private static final int MIN_SIZE = 3;
-    /** With each update the wanted size shrinks to this part of its last value at most. */
-    private static final double SHRINK_RATIO = 0.9;
-    /** Multiples of this, modulo 1, spread the starts of the arcs evenly over the circle. */
-    private static final double GOLDEN_SECTION = 0.6180339887498949;
+    /** Each update reduces the target size to no less than this fraction of its previous value. */
+    private static final double MIN_SHRINK_RATIO = 0.9;
+    /** Multiples of this, modulo 1, distribute the starts of the segments evenly over a ring. */
+    private static final double GOLDEN_RATIO_CONJUGATE = 0.6180339887498949;
     /**
-     * Multiples of this, modulo 1, decide which sidecars round a fractional length up: on average over the sidecars the
-     * fraction is kept. Differs from {@link #GOLDEN_SECTION} so that rounding and start are independent.
+     * Multiples of this, modulo 1, decide which sidecars round a fractional segment length up, so that the average over
+     * all sidecars is the exact length. The value differs from {@link #GOLDEN_RATIO_CONJUGATE} so that a sidecar's
+     * rounding does not depend on where its segment starts.
      */
     private static final double ROUNDING_STEP = 0.7548776662466927;
 
@@ -34,21 +35,24 @@
     private final ZoneShares zoneShares;
     private final IdleConnectionPolicy idleConnections;
     private List<TrackedEndpoint> members = List.of();
-    private long updatedMicros;
-    private double wantedSize;
+    private long lastUpdateMicros;
+    private double targetSize;
 
     /**
-     * Key of a circle. The methods are explicit because those of a record are linked at the first call, which is slow.
+     * Identifies a ring. {@code equals} and {@code hashCode} are written out because those generated for a record are
+     * linked at the first call, which is slow.
      */
-    private record ZoneAndType(int zone, String machineType) {
+    private record ZoneAndMachineType(int zoneIndex, String machineType) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof ZoneAndType key && key.zone == zone && key.machineType.equals(machineType);
+            return other instanceof ZoneAndMachineType key
+                    && key.zoneIndex == zoneIndex
+                    && key.machineType.equals(machineType);
         }
 
         @Override
         public int hashCode() {
-            return 31 * machineType.hashCode() + zone;
+            return 31 * machineType.hashCode() + zoneIndex;
         }
     }
 
@@ -65,66 +69,70 @@
         this.idleConnections = idleConnections;
     }
 
-    /** The endpoints of the subset; all ready ones where connections have no price. */
+    /** Returns the endpoints of the subset; all ready endpoints if no subset is used. */
     List<TrackedEndpoint> members() {
         return members;
     }
 
-    /** Makes the next {@link #update} choose again, however recent the last choice is. */
+    /** Makes the next {@link #update} select the subset again, even if the last update is recent. */
     void invalidate(long nowMicros) {
-        updatedMicros = nowMicros - UPDATE_MICROS - 1;
+        lastUpdateMicros = nowMicros - UPDATE_INTERVAL_MICROS - 1;
     }
 
-    /** Updates the zone shares and chooses the subset again, if the last choice is out of date. */
+    /** Updates the zone shares and selects the subset again if the last update is out of date. */
     void update(long nowMicros) {
-        if (nowMicros - updatedMicros > UPDATE_MICROS) {
-            updatedMicros = nowMicros;
+        if (nowMicros - lastUpdateMicros > UPDATE_INTERVAL_MICROS) {
+            lastUpdateMicros = nowMicros;
             zoneShares.update();
-            members = settings.usesSubset() ? choose() : registry.ready();
+            members = settings.usesSubset() ? selectMembers() : registry.ready();
         }
     }
 
-    private List<TrackedEndpoint> choose() {
-        double size = size();
-        int[] zoneSizes = new int[settings.zoneCount()];
-        Map<ZoneAndType, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
+    private List<TrackedEndpoint> selectMembers() {
+        double size = updateTargetSize();
+        int[] readyCountByZone = new int[settings.zoneCount()];
+        Map<ZoneAndMachineType, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
         for (TrackedEndpoint endpoint : registry.ready()) {
-            ZoneAndType key =
-                    new ZoneAndType(endpoint.zoneIndex(), endpoint.listEntry().machineType());
+            ZoneAndMachineType key = new ZoneAndMachineType(
+                    endpoint.zoneIndex(), endpoint.listEntry().machineType());
             groups.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
-            zoneSizes[endpoint.zoneIndex()]++;
+            readyCountByZone[endpoint.zoneIndex()]++;
         }
-        List<TrackedEndpoint> chosen = new ArrayList<>();
-        for (Map.Entry<ZoneAndType, List<TrackedEndpoint>> group : groups.entrySet()) {
-            int zone = group.getKey().zone();
-            addArc(group.getValue(), zone, size, zoneSizes[zone], chosen);
+        List<TrackedEndpoint> selected = new ArrayList<>();
+        for (Map.Entry<ZoneAndMachineType, List<TrackedEndpoint>> group : groups.entrySet()) {
+            int zoneIndex = group.getKey().zoneIndex();
+            addSegment(group.getValue(), zoneIndex, size, readyCountByZone[zoneIndex], selected);
         }
-        return chosen;
+        return selected;
     }
 
-    /** The size wanted now; remembers it, so that it can shrink slowly. */
-    private double size() {
-        double ready = registry.ready().size();
-        double arc = RateMath.safeDivide(
-                PolicySettings.SIDECARS_PER_ENDPOINT * ready * rates.localPerSecond(), rates.fleetPerSecond());
-        wantedSize = Math.max(Math.max(MIN_SIZE, arc), SHRINK_RATIO * wantedSize);
+    /** Updates the target size, which shrinks slowly, and returns the number of endpoints to select. */
+    private double updateTargetSize() {
+        double readyCount = registry.ready().size();
+        double proportionalSize = RateMath.safeDivide(
+                PolicySettings.SIDECARS_PER_ENDPOINT * readyCount * rates.localPerSecond(), rates.fleetPerSecond());
+        targetSize = Math.max(Math.max(MIN_SIZE, proportionalSize), MIN_SHRINK_RATIO * targetSize);
         if (!idleConnections.hasLimit()) {
-            return wantedSize;
+            return targetSize;
         }
-        // An idle limit: no more connections than can each be used twice within it.
-        double usesInLimit = rates.localPerSecond() * idleConnections.limitMicros();
-        double keptConnections = Math.max(1, usesInLimit / (2 * RateMath.MICROS_PER_SECOND));
-        return Math.min(keptConnections, wantedSize);
+        // Select no more endpoints than can each be sent two requests within the idle limit.
+        double microRequestsInLimit = rates.localPerSecond() * idleConnections.limitMicros();
+        double maxSize = Math.max(1, microRequestsInLimit / (2 * RateMath.MICROS_PER_SECOND));
+        return Math.min(maxSize, targetSize);
     }
 
-    private void addArc(
-            List<TrackedEndpoint> group, int zone, double size, int zoneSize, List<TrackedEndpoint> chosen) {
-        double share = zoneShares.share(zone) * size * group.size() / zoneSize;
-        double rounded = Math.floor(share + settings.sidecarIndex() * ROUNDING_STEP % 1);
-        double count = Math.max(zone == settings.localZoneIndex() ? 1 : 0, rounded);
-        int start = (int) (settings.sidecarIndex() * GOLDEN_SECTION % 1 * group.size());
+    private void addSegment(
+            List<TrackedEndpoint> group,
+            int zoneIndex,
+            double size,
+            int zoneReadyCount,
+            List<TrackedEndpoint> selected) {
+        double exactCount = zoneShares.share(zoneIndex) * size * group.size() / zoneReadyCount;
+        double roundedCount = Math.floor(exactCount + settings.sidecarIndex() * ROUNDING_STEP % 1);
+        double count = Math.max(zoneIndex == settings.localZoneIndex() ? 1 : 0, roundedCount);
+        int start = (int) (settings.sidecarIndex() * GOLDEN_RATIO_CONJUGATE % 1 * group.size());
         for (int i = 0; i < Math.min(count, group.size()); i++) {
-            chosen.add(group.get((i + start) % group.size()));
+            selected.add(group.get((i + start) % group.size()));
         }
     }
 }
--- a/src/main/java/loadbalancer/decision/EstimateLog.java
+++ b/src/main/java/loadbalancer/decision/EstimateLog.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Every few seconds, logs the estimates that the split is computed from, in the form {@code event key=value ...}. */
+/** Logs the estimates behind the routing table at regular intervals, in the form {@code event key=value ...}. */
 final class EstimateLog {
     private static final long INTERVAL_MICROS = 5_000_000;
 
@@ -10,7 +10,7 @@
     private final Estimators estimators;
     private final EndpointRouting routing;
     private final RequestQueue queue;
-    private long writtenMicros;
+    private long lastWrittenMicros;
 
     EstimateLog(
             LoadBalancerActions actions,
@@ -22,25 +22,28 @@
         this.estimators = estimators;
         this.routing = routing;
         this.queue = queue;
-        writtenMicros = nowMicros;
+        lastWrittenMicros = nowMicros;
     }
 
     void writeIfDue(long nowMicros) {
-        if (nowMicros - writtenMicros < INTERVAL_MICROS) {
+        if (nowMicros - lastWrittenMicros < INTERVAL_MICROS) {
             return;
         }
-        writtenMicros = nowMicros;
+        lastWrittenMicros = nowMicros;
         StringBuilder line = new StringBuilder("estimates");
         appendFleet(line, nowMicros);
         for (Map.Entry<String, MachineTypeEstimate> machineType : routing.registry.machineTypeEntries()) {
             line.append(" machine_type=").append(machineType.getKey());
-            append(line, "cores", hundredths(machineType.getValue().cores()));
-            append(line, "speed_factor", hundredths(machineType.getValue().speedFactor()));
+            append(line, "cores", roundToHundredths(machineType.getValue().cores()));
+            append(
+                    line,
+                    "speed_factor",
+                    roundToHundredths(machineType.getValue().speedFactor()));
         }
         for (TrackedEndpoint endpoint : routing.registry.ready()) {
             line.append(" endpoint=").append(endpoint.id());
             append(line, "local_in_flight", endpoint.localInFlight());
-            append(line, "deviation", hundredths(endpoint.deviation.ratio()));
+            append(line, "deviation", roundToHundredths(endpoint.deviation.ratio()));
             line.append(" state=").append(state(endpoint, nowMicros));
         }
         actions.log(line.toString());
@@ -72,7 +75,7 @@
         line.append(' ').append(key).append('=').append(value);
     }
 
-    private static double hundredths(double value) {
+    private static double roundToHundredths(double value) {
         return Math.round(value * 100) / 100.0;
     }
 }
--- a/src/main/java/loadbalancer/decision/Estimators.java
+++ b/src/main/java/loadbalancer/decision/Estimators.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.settings.LoadBalancerSettings;
 
-/** Wires the settings of one policy with its estimators. */
+/** Creates and connects the settings and the estimators of one load balancing policy. */
 final class Estimators {
     final PolicySettings settings = new PolicySettings();
     final GossipState gossip = new GossipState();
--- a/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
 /**
- * Estimates how many requests of all sidecars the endpoints hold, from local attempts and gossip: the local attempts
- * may be a small part of an endpoint's queue.
+ * Estimates how many requests of all sidecars the endpoints hold, from local attempts and gossip. Gossip is needed
+ * because the local attempts may be a small fraction of an endpoint's queue.
  */
 final class FleetLoadEstimator {
     private final PolicySettings settings;
@@ -24,7 +24,10 @@
         this.routingTable = routingTable;
     }
 
-    /** Requests of this sidecar that ready endpoints hold, without ejected ones, where no new request would wait. */
+    /**
+     * Returns the number of this sidecar's requests that ready endpoints hold. Leaves out ejected endpoints, since no
+     * new request would wait there.
+     */
     double localInFlight(long nowMicros) {
         double inFlight = 0;
         for (TrackedEndpoint endpoint : attempts.busyEndpoints()) {
@@ -35,13 +38,17 @@
         return inFlight;
     }
 
-    /** Requests of all sidecars: the mean of this one and its live peers, times the number of sidecars. */
+    /**
+     * Returns the number of requests of all sidecars that endpoints hold: the mean over this sidecar and its live
+     * peers, multiplied by the number of sidecars.
+     */
     double fleetInFlight(long nowMicros) {
         return settings.sidecarCount() * (localInFlight(nowMicros) + gossip.livePeersInFlight()) / (livePeers() + 1);
     }
 
     /**
-     * Requests of other sidecars on one endpoint, by its part of all cores; 0 where load reports or gossip rule it out.
+     * Returns the number of requests of other sidecars on one endpoint, in proportion to its fraction of all cores; 0
+     * if endpoints send load reports, no peer is live or the endpoint is ejected.
      */
     double remoteInFlight(TrackedEndpoint endpoint, long nowMicros) {
         if (settings.hasLoadReports()
@@ -56,7 +63,7 @@
                 / routingTable.cores();
     }
 
-    /** Number of live peers behind the estimate. */
+    /** Returns the number of live peers that the estimate is based on. */
     int livePeers() {
         return gossip.livePeers();
     }
--- a/src/main/java/loadbalancer/decision/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgingPolicy.java
@@ -81,7 +81,7 @@
             return;
         }
         TrackedEndpoint endpoint =
-                powerOfTwo.select(nowMicros, request, routingTable.all(), RoomNeeded.FREE_CORE, excluded);
+                powerOfTwo.select(nowMicros, request, routingTable.all(), CapacityRequirement.FREE_CORE, excluded);
         if (endpoint != null) {
             budget--;
             sender.send(nowMicros, request, endpoint);
--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -1,28 +1,28 @@
 package loadbalancer.decision;
 
 /**
- * Estimates how many requests an endpoint holds: the local attempts in flight, and those of other sidecars according to
- * the endpoint's last load report, less what it can have served since. This is the load that HALO_PoD compares (section
- * IV-C).
+ * Estimates how many requests an endpoint holds: the local attempts in flight, plus the requests of other sidecars
+ * according to the endpoint's last load report, minus those that it can have served since. This is the load that
+ * HALO_PoD compares (section IV-C).
  */
 final class LoadEstimator {
-    /** From this many times its forecast time on, an attempt without response counts as additional load. */
+    /** An attempt without a response after this many times its forecast response time counts as additional load. */
     private static final double STALL_RATIO = 2;
 
     private final WorkEstimator work;
 
-    /** What an endpoint last reported of its load. */
+    /** The load derived from an endpoint's last load report. */
     static final class ReportedLoad {
         private int lostAttempts;
         private double remoteInFlight;
         private long reportedMicros = RateMath.NEVER_MICROS;
 
-        /** Local attempts that the endpoint did not hold. */
+        /** Returns the number of local attempts in flight that the endpoint did not hold. */
         int lostAttempts() {
             return lostAttempts;
         }
 
-        /** When the endpoint last reported or was last assumed to be full. */
+        /** Returns when the endpoint last reported its load or was last assumed to be full. */
         long reportedMicros() {
             return reportedMicros;
         }
@@ -33,62 +33,67 @@
     }
 
     /**
-     * The most requests that an endpoint should hold: its cores and, by the rule of square-root staffing, their root.
+     * Returns the load limit, the maximum number of requests that an endpoint should hold: its number of cores plus the
+     * square root of that number (square-root staffing rule).
      */
     static double maxLoad(double cores) {
         return cores + Math.sqrt(cores);
     }
 
-    /** Estimated number of requests that the endpoint holds. */
+    /** Returns the estimated number of requests that the endpoint holds. */
     double load(TrackedEndpoint endpoint, long nowMicros) {
         return localLoad(endpoint, nowMicros) + remoteLoad(endpoint, nowMicros) + stallLoad(endpoint, nowMicros);
     }
 
-    /** Local attempts in flight, without those that were lost on their way. */
+    /** Returns the number of local attempts in flight, without those that were lost on the network. */
     private static int localLoad(TrackedEndpoint endpoint, long nowMicros) {
         int lost = Math.max(endpoint.reportedLoad.lostAttempts, endpoint.attempts.missingCount(nowMicros));
         return Math.max(0, endpoint.localInFlight() - lost);
     }
 
-    /** Requests of other sidecars at the last report, less those that the endpoint can have served since. */
+    /** Returns the requests of other sidecars at the last report, minus those that can have been served since. */
     private double remoteLoad(TrackedEndpoint endpoint, long nowMicros) {
-        ReportedLoad report = endpoint.reportedLoad;
-        double servedSinceReport = (nowMicros - report.reportedMicros)
+        ReportedLoad reported = endpoint.reportedLoad;
+        double servedSinceReport = (nowMicros - reported.reportedMicros)
                 * endpoint.machineType().cores()
                 / (endpoint.speedFactor() * work.meanWorkMicros());
-        return Math.max(0, report.remoteInFlight - servedSinceReport);
+        return Math.max(0, reported.remoteInFlight - servedSinceReport);
     }
 
-    /** Additional load for a late response, in requests: a stall of the endpoint shows in the local attempts first. */
+    /**
+     * Returns additional load for a late response, in requests, because local attempts are the first sign of a stall.
+     */
     private static double stallLoad(TrackedEndpoint endpoint, long nowMicros) {
         Attempt oldest = endpoint.attempts.oldestNotOvertaken();
         if (oldest == null || endpoint.reportedLoad.lostAttempts != 0) {
             return 0;
         }
-        double overdue = (nowMicros - oldest.sentMicros()) / oldest.forecast().responseMicros() - STALL_RATIO;
-        return overdue > 0 ? overdue * endpoint.machineType().cores() : 0;
+        double overdueRatio =
+                (nowMicros - oldest.sentMicros()) / oldest.forecast().responseMicros() - STALL_RATIO;
+        return overdueRatio > 0 ? overdueRatio * endpoint.machineType().cores() : 0;
     }
 
-    /** Handles a load report. Overdue attempts that the endpoint does not hold were lost on their connections. */
+    /** Handles a load report. Counts overdue attempts that the endpoint does not hold as lost on their connections. */
     void onReport(TrackedEndpoint endpoint, LoadReport report, long nowMicros) {
-        long overdue = 0;
+        long overdueCount = 0;
         for (Attempt attempt : endpoint.attempts.inOrder()) {
             if (attempt.isOverdue(nowMicros)) {
-                overdue++;
+                overdueCount++;
             }
         }
-        int local = endpoint.localInFlight();
+        int localInFlight = endpoint.localInFlight();
         ReportedLoad reported = endpoint.reportedLoad;
-        reported.lostAttempts = (int) Math.min(overdue, Math.max(0, local - Math.round(report.inFlight())));
-        reported.remoteInFlight = Math.max(0, report.inFlight() - local);
+        reported.lostAttempts =
+                (int) Math.min(overdueCount, Math.max(0, localInFlight - Math.round(report.inFlight())));
+        reported.remoteInFlight = Math.max(0, report.inFlight() - localInFlight);
         reported.reportedMicros = nowMicros;
     }
 
-    /** Assumes at least the load limit, after a rejection or a health check whose reply holds no load report. */
+    /** Assumes at least the load limit, after a rejection or a health check reply without a load report. */
     void assumeFull(TrackedEndpoint endpoint, long nowMicros) {
-        double full = Math.max(
+        double fullLoad = Math.max(
                 load(endpoint, nowMicros), maxLoad(endpoint.machineType().cores()));
-        endpoint.reportedLoad.remoteInFlight = full - endpoint.localInFlight();
+        endpoint.reportedLoad.remoteInFlight = fullLoad - endpoint.localInFlight();
         endpoint.reportedLoad.reportedMicros = nowMicros;
     }
 }
--- a/src/main/java/loadbalancer/decision/LoadReport.java
+++ b/src/main/java/loadbalancer/decision/LoadReport.java
@@ -1,11 +1,11 @@
 package loadbalancer.decision;
 
 /**
- * What an endpoint reports about its load. A value that it does not report is negative.
+ * An endpoint's report of its own load. A value that the endpoint does not report is negative.
  *
- * @param inFlight requests that it holds, from all sidecars
- * @param queued requests among them that wait for a core
- * @param utilization part of its processor time in use, 0 to 1; no rule uses it
+ * @param inFlight requests that the endpoint holds, from all sidecars
+ * @param queued the requests in flight that wait for a core
+ * @param utilization fraction of the CPU time in use, 0 to 1; no rule uses it
  */
 public record LoadReport(double inFlight, double queued, double utilization) {
     /** A value that the endpoint does not report. */
--- a/src/main/java/loadbalancer/decision/LoadReportHandler.java
+++ b/src/main/java/loadbalancer/decision/LoadReportHandler.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Handles load reports from responses and health checks, and knows which endpoint reported in the current event. */
+/** Handles load reports from responses and health checks, and keeps the endpoint that reported in the current event. */
 final class LoadReportHandler {
     private final EndpointRegistry registry;
     private final LoadEstimator loads;
@@ -12,7 +12,7 @@
         this.loads = loads;
     }
 
-    /** Handles a report; one that is null or lacks the requests in flight is ignored. */
+    /** Handles a report. Ignores a report that is null, lacks the requests in flight or is from an unknown endpoint. */
     void onReport(String endpointId, LoadReport report, long nowMicros) {
         TrackedEndpoint endpoint = registry.find(endpointId);
         if (endpoint == null || report == null || report.inFlight() < 0) {
@@ -24,17 +24,17 @@
         endpoint.machineType().learnCores(report);
     }
 
-    /** The endpoint that reported in the current event, or null. */
+    /** Returns the endpoint that reported in the current event, or null if none did. */
     TrackedEndpoint freshEndpoint() {
         return freshEndpoint;
     }
 
-    /** Called at the end of an event. */
+    /** Clears the endpoint that reported in the current event. Called at the end of each event. */
     void clearFresh() {
         freshEndpoint = null;
     }
 
-    /** When any endpoint last reported. */
+    /** Returns when any endpoint last reported, or {@link RateMath#NEVER_MICROS}. */
     long lastReportMicros() {
         return lastReportMicros;
     }
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -1,35 +1,41 @@
 package loadbalancer.decision;
 
 /**
- * The estimates for all endpoints of one machine type: the speed factor (time for work that takes a standard core one
- * unit; below 1 is faster) and the number of cores. Together they give the service rate of Eq. (4).
+ * The estimates for all endpoints of one machine type: the speed factor (service time relative to a standard core;
+ * below 1 is faster) and the number of cores. Together they determine the service rate in Eq. (4).
  */
 final class MachineTypeEstimate {
-    /** More responses than this add no confidence to the estimates. */
+    /** Number of responses beyond which the weight of the estimates no longer grows. */
     private static final int MAX_RESPONSES = 40;
-    /** Without responses for this long the speed factor returns towards its least, so that the type is tried again. */
+    /**
+     * A speed factor without observations for this long decays towards its minimum, so that the type is tried again.
+     */
     private static final long STALE_MICROS = 3_000_000;
-    /** Step of that return at each solution of the routing table. */
-    private static final double RETURN_GAIN = 0.02;
-    /** The least speed factor seen is multiplied by this at each solution, so that an early low value is forgotten. */
-    private static final double LEAST_GROWTH_RATIO = 1.0005;
-    /** The gain of a response falls with their number, down to this part. */
-    private static final double LEAST_GAIN_RATIO = 0.25;
-    /** A response counts as at most this many times slower than expected: the work of requests has a long tail. */
-    private static final double MAX_STEP_RATIO = 3;
-    /** Step towards the cores that a load report shows. */
+    /** Fraction by which a stale speed factor approaches its minimum each time the routing table is solved. */
+    private static final double DECAY_GAIN = 0.02;
+    /**
+     * Growth of the minimum speed factor each time the routing table is solved, so that an old minimum is forgotten.
+     */
+    private static final double MIN_SPEED_FACTOR_GROWTH_RATIO = 1.0005;
+    /** The weight of a response decreases with the number of responses, down to this fraction of the gain. */
+    private static final double MIN_GAIN_RATIO = 0.25;
+    /**
+     * Upper bound of observed relative to expected response time: the work of requests has a long-tailed distribution.
+     */
+    private static final double MAX_OBSERVED_RATIO = 3;
+    /** Weight of one load report in the number of cores. */
     private static final double REPORTED_CORES_GAIN = 0.3;
-    /** Requests; counts in a load report that differ by less are taken as equal. */
+    /** Counts of requests in a load report that differ by less than this are taken as equal. */
     private static final double REPORT_TOLERANCE = 0.5;
-    /** The most that one gossip message can weigh. */
+    /** Upper bound of the weight of one gossip message. */
     private static final double GOSSIP_GAIN = 0.5;
-    /** The number of cores in gossip counts as at most this many times the local estimate. */
+    /** Upper bound of the number of cores in a gossip message, relative to the local estimate. */
     private static final double MAX_GOSSIP_CORES_RATIO = 3;
 
     private double speedFactor = 1;
-    private double leastSpeedFactor = 1;
+    private double minSpeedFactor = 1;
     private double cores;
-    /** Responses behind the estimates. */
+    /** Number of responses from which the estimates were learned. */
     private int responses;
 
     private long lastObservationMicros;
@@ -46,47 +52,48 @@
         return cores;
     }
 
-    /** The estimates in the form in which gossip carries them. */
+    /** Returns the estimates in the form that is sent in gossip. */
     GossipMessage.MachineTypeSample sample() {
         return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_RESPONSES, responses));
     }
 
-    /** Notes the time at which an attempt, with or without a response, was learned from. */
+    /** Notes the time of an observation, that is, an attempt with or without a response that was learned from. */
     void recordObservation(long nowMicros) {
         lastObservationMicros = nowMicros;
     }
 
     /**
-     * Without recent responses, moves the speed factor towards the least one seen: a type that seems slow gets no
-     * requests, so no response could correct the estimate.
+     * Decays a speed factor without recent observations towards the minimum: a machine type that is estimated as slow
+     * receives no requests, so that no response could correct the estimate. Also updates the minimum.
      */
     void decayIfStale(long nowMicros) {
         if (nowMicros - lastObservationMicros > STALE_MICROS) {
-            speedFactor += RETURN_GAIN * (leastSpeedFactor - speedFactor);
+            speedFactor += DECAY_GAIN * (minSpeedFactor - speedFactor);
         }
-        leastSpeedFactor =
-                responses < MAX_RESPONSES ? speedFactor : Math.min(speedFactor, leastSpeedFactor * LEAST_GROWTH_RATIO);
+        minSpeedFactor = responses < MAX_RESPONSES
+                ? speedFactor
+                : Math.min(speedFactor, minSpeedFactor * MIN_SPEED_FACTOR_GROWTH_RATIO);
     }
 
     /**
-     * Moves the speed factor towards an observed one; the first responses weigh more.
+     * Moves the speed factor towards an observed one; the first responses have more weight.
      *
      * @param observedFactor the response time, relative to the time expected at speed factor 1
-     * @param gain weight of this step
-     * @param usualGain weight of a step whose response time depends on the speed alone
+     * @param gain weight of this response
+     * @param usualGain weight of a response whose time depends on the speed alone
      */
     void learnSpeed(double observedFactor, double gain, double usualGain) {
         responses++;
-        double weight = gain * Math.max(LEAST_GAIN_RATIO, 1 / usualGain / (responses + 1));
-        speedFactor *= 1 + weight * (Math.min(MAX_STEP_RATIO, observedFactor / speedFactor) - 1);
+        double weight = gain * Math.max(MIN_GAIN_RATIO, 1 / usualGain / (responses + 1));
+        speedFactor *= 1 + weight * (Math.min(MAX_OBSERVED_RATIO, observedFactor / speedFactor) - 1);
     }
 
-    /** Lowers the cores by a relative step, or raises them by a negative one. */
+    /** Decreases the number of cores by a relative step, or increases it if the step is negative. */
     void adjustCores(double relativeStep) {
         cores = Math.max(1, cores * (1 - relativeStep));
     }
 
-    /** Learns the number of cores from a load report: the requests that run while others are queued. */
+    /** Learns the number of cores from a load report: the number of requests that run while others are queued. */
     void learnCores(LoadReport report) {
         double running = report.inFlight() - Math.max(0, report.queued());
         boolean saturated = report.queued() >= REPORT_TOLERANCE && running >= REPORT_TOLERANCE;
@@ -96,18 +103,19 @@
     }
 
     /**
-     * Moves the estimates towards those of another sidecar, weighted by the responses behind each. The effect of one
-     * message is bounded, so that a wrong one does little harm and later ones correct it.
+     * Moves the estimates towards those of another sidecar, weighted by the number of responses that each sidecar has
+     * learned from. The effect of one message is bounded, so that a wrong message does little harm and later ones
+     * correct it.
      */
     void mergePeerEstimate(GossipMessage.MachineTypeSample peer) {
         int peerWeight = Math.min(MAX_RESPONSES, peer.responses());
         if (peer.speedFactor() <= 0 || peerWeight == 0) {
             return;
         }
-        double part = GOSSIP_GAIN * peerWeight / (peerWeight + Math.min(MAX_RESPONSES, responses));
-        speedFactor += part * (peer.speedFactor() - speedFactor);
-        // Cores can be learned only from queued requests, which one of many sidecars seldom has: gossip is needed.
-        cores = Math.max(1, cores + part * (Math.min(peer.cores(), MAX_GOSSIP_CORES_RATIO * cores) - cores));
+        double weight = GOSSIP_GAIN * peerWeight / (peerWeight + Math.min(MAX_RESPONSES, responses));
+        speedFactor += weight * (peer.speedFactor() - speedFactor);
+        // Cores can be learned only from queued requests, which one of many sidecars rarely has, so gossip is needed.
+        cores = Math.max(1, cores + weight * (Math.min(peer.cores(), MAX_GOSSIP_CORES_RATIO * cores) - cores));
         // Estimates taken from gossip count as half the responses that the sender had.
         responses = Math.max(responses, peerWeight / 2);
     }
--- a/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
+++ b/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
@@ -3,16 +3,17 @@
 import java.util.SplittableRandom;
 
 /**
- * HALO_PoD with D = 2 (section IV-C): two endpoints with room are drawn by their routing weights {@code p_i / k_i}, and
- * the less loaded one is chosen; ties are broken by the routing weights.
+ * Selects an endpoint by HALO_PoD with D = 2 (section IV-C): draws two endpoints that can take the request, with
+ * probabilities proportional to their routing weights {@code p_i / k_i}, and selects the one with less load per core. A
+ * tie is broken by a random choice with the same weights.
  */
 final class PowerOfTwoSelector {
-    /** Random draws for an endpoint with room before all candidates are tested. */
+    /** Maximum number of random draws for an endpoint that can take the request, before every candidate is checked. */
     private static final int MAX_DRAWS = 4;
-    /** Requests per core; sampled loads that differ by no more are a tie. */
-    private static final double SAMPLED_TIE = 0.5;
-    /** Requests per core; estimated loads that differ by no more are a tie. */
-    private static final double ESTIMATE_TIE = 1e-9;
+    /** Maximum difference of two sampled loads that counts as a tie, in requests per core. */
+    private static final double SAMPLED_TIE_TOLERANCE = 0.5;
+    /** Maximum difference of two estimated loads that counts as a tie, in requests per core. */
+    private static final double ESTIMATED_TIE_TOLERANCE = 1e-9;
 
     private final PolicySettings settings;
     private final SplittableRandom random;
@@ -28,54 +29,54 @@
     }
 
     /**
-     * Chooses one of two drawn endpoints.
+     * Draws two endpoints that can take the request and returns the less loaded one.
      *
-     * @param excluded an endpoint that is not to be drawn, or null
-     * @return null where none has room
+     * @param excluded an endpoint that must not be selected, or null
+     * @return the selected endpoint, or null if no candidate can take the request
      */
     TrackedEndpoint select(
             long nowMicros,
             PendingRequest request,
             WeightedSampler candidates,
-            RoomNeeded needed,
+            CapacityRequirement requirement,
             TrackedEndpoint excluded) {
-        TrackedEndpoint first = draw(nowMicros, request, candidates, needed, excluded);
+        TrackedEndpoint first = draw(nowMicros, request, candidates, requirement, excluded);
         if (first == null) {
             return null;
         }
-        TrackedEndpoint second = draw(nowMicros, request, candidates, needed, first);
+        TrackedEndpoint second = draw(nowMicros, request, candidates, requirement, first);
         return second == null || second == excluded ? first : lessLoaded(nowMicros, first, second);
     }
 
-    /** Draws one endpoint with room by its routing weight, or null if no candidate has room. */
+    /** Draws one endpoint that can take the request, by routing weight. Returns null if no candidate can take it. */
     TrackedEndpoint draw(
             long nowMicros,
             PendingRequest request,
             WeightedSampler candidates,
-            RoomNeeded needed,
+            CapacityRequirement requirement,
             TrackedEndpoint excluded) {
         for (int i = 0; i < MAX_DRAWS && candidates.size() > 0; i++) {
             TrackedEndpoint endpoint = candidates.draw(random.nextDouble());
-            if (endpoint != excluded && availability.canTake(nowMicros, request, endpoint, needed)) {
+            if (endpoint != excluded && availability.canTake(nowMicros, request, endpoint, requirement)) {
                 return endpoint;
             }
         }
         double weightSum = 0;
-        TrackedEndpoint chosen = null;
+        TrackedEndpoint selected = null;
         for (int i = 0; i < candidates.size(); i++) {
             TrackedEndpoint endpoint = candidates.get(i);
-            if (endpoint != excluded && availability.canTake(nowMicros, request, endpoint, needed)) {
+            if (endpoint != excluded && availability.canTake(nowMicros, request, endpoint, requirement)) {
                 weightSum += endpoint.routingWeight();
-                chosen = random.nextDouble() * weightSum < endpoint.routingWeight() ? endpoint : chosen;
+                selected = random.nextDouble() * weightSum < endpoint.routingWeight() ? endpoint : selected;
             }
         }
-        return chosen;
+        return selected;
     }
 
-    /** The one with less load per core; draws by routing weight if both are about equal. */
+    /** Returns the endpoint with less load per core. In a tie, draws one of the two by routing weight. */
     TrackedEndpoint lessLoaded(long nowMicros, TrackedEndpoint first, TrackedEndpoint second) {
         double difference = loadPerCore(nowMicros, first) - loadPerCore(nowMicros, second);
-        if (Math.abs(difference) > (settings.samplesLoad() ? SAMPLED_TIE : ESTIMATE_TIE)) {
+        if (Math.abs(difference) > (settings.samplesLoad() ? SAMPLED_TIE_TOLERANCE : ESTIMATED_TIE_TOLERANCE)) {
             return difference < 0 ? first : second;
         }
         double weightSum = first.routingWeight() + second.routingWeight();
--- a/src/main/java/loadbalancer/decision/RequestRateEstimator.java
+++ b/src/main/java/loadbalancer/decision/RequestRateEstimator.java
@@ -1,25 +1,25 @@
 package loadbalancer.decision;
 
 /**
- * Estimates the requests a second that arrive at this sidecar, by an exponentially weighted mean, and, with gossip,
- * those that arrive at the fleet: the arrival rate of Eq. (4).
+ * Estimates the requests per second that arrive at this sidecar, with an exponentially weighted moving average, and,
+ * with gossip, those that arrive at the fleet: the arrival rate in Eq. (4).
  */
 final class RequestRateEstimator {
-    /** Time constant of the mean: the estimate follows a burst within a second or two. */
-    private static final double AVERAGING_MICROS = 2_000_000;
+    /** Time constant of the moving average: the estimate follows a burst within one to two seconds. */
+    private static final double TIME_CONSTANT_MICROS = 2_000_000;
 
     private final PolicySettings settings;
     private final GossipState gossip;
     private final long startedMicros;
-    private long measuredMicros;
+    private long lastMeasuredMicros;
     private int arrivals;
-    private double localRate;
+    private double localRatePerSecond;
 
     RequestRateEstimator(PolicySettings settings, GossipState gossip, long nowMicros) {
         this.settings = settings;
         this.gossip = gossip;
         startedMicros = nowMicros;
-        measuredMicros = nowMicros;
+        lastMeasuredMicros = nowMicros;
     }
 
     void countArrival() {
@@ -27,28 +27,33 @@
     }
 
     /**
-     * Updates the mean with the arrivals since the last call, and the fleet's figures from gossip. The weights are
-     * normalised by their sum since the start, so that a first request right after the start does not count as a high
-     * rate.
+     * Updates the moving average with the arrivals since the last call, and summarizes the gossip of the fleet. The
+     * weights are normalized by their sum since the start, so that a first request right after the start does not
+     * appear as a high rate.
      */
     void measure(long nowMicros) {
-        double passedMicros = Math.max(1, nowMicros - measuredMicros);
-        double beforeStart = Math.exp((startedMicros - measuredMicros) / AVERAGING_MICROS);
-        double keep = (1 - beforeStart) / (Math.exp(passedMicros / AVERAGING_MICROS) - beforeStart);
-        localRate = keep * localRate + (1 - keep) * arrivals * RateMath.MICROS_PER_SECOND / passedMicros;
+        double elapsedMicros = Math.max(1, nowMicros - lastMeasuredMicros);
+        double weightBeforeStart = Math.exp((startedMicros - lastMeasuredMicros) / TIME_CONSTANT_MICROS);
+        double retainedWeight =
+                (1 - weightBeforeStart) / (Math.exp(elapsedMicros / TIME_CONSTANT_MICROS) - weightBeforeStart);
+        localRatePerSecond = retainedWeight * localRatePerSecond
+                + (1 - retainedWeight) * arrivals * RateMath.MICROS_PER_SECOND / elapsedMicros;
         arrivals = 0;
-        measuredMicros = nowMicros;
-        gossip.summarize(nowMicros, settings.localZoneIndex(), localRate);
+        lastMeasuredMicros = nowMicros;
+        gossip.summarize(nowMicros, settings.localZoneIndex(), localRatePerSecond);
     }
 
-    /** Requests a second to this sidecar. */
+    /** Returns the requests per second that arrive at this sidecar. */
     double localPerSecond() {
-        return localRate;
+        return localRatePerSecond;
     }
 
-    /** Requests a second to the fleet: the mean of this sidecar and its live peers, times the number of sidecars. */
+    /**
+     * Returns the requests per second that arrive at the fleet: the mean over this sidecar and its live peers,
+     * multiplied by the number of sidecars.
+     */
     double fleetPerSecond() {
-        double mean = gossip.meanRatePerSecond();
-        return settings.sidecarCount() * (mean > 0 ? mean : localRate);
+        double meanRatePerSecond = gossip.meanRatePerSecond();
+        return settings.sidecarCount() * (meanRatePerSecond > 0 ? meanRatePerSecond : localRatePerSecond);
     }
 }
--- a/src/main/java/loadbalancer/decision/RoutingRefresher.java
+++ b/src/main/java/loadbalancer/decision/RoutingRefresher.java
@@ -1,11 +1,11 @@
 package loadbalancer.decision;
 
 /**
- * Updates the request rates, panic mode, the subset and the routing table when they are out of date, and writes the
- * regular log line of the estimates. Called before each decision.
+ * Updates the request rates, panic mode, the endpoint subset and the routing table if they are out of date, and writes
+ * the regular log line of the estimates. Called before each decision.
  */
 final class RoutingRefresher {
-    /** Speeds and rates change within seconds; this is short against that. */
+    /** Short compared with the seconds within which speeds and rates change. */
     private static final long INTERVAL_MICROS = 100_000;
 
     private final RequestRateEstimator rates;
@@ -13,7 +13,7 @@
     private final OutlierDetector outliers;
     private final EndpointSubset subset;
     private final RoutingTable routingTable;
-    private long refreshedMicros;
+    private long lastRefreshMicros;
 
     RoutingRefresher(
             RequestRateEstimator rates,
@@ -28,17 +28,17 @@
         this.routingTable = routingTable;
     }
 
-    /** Makes the next {@link #refreshIfDue} update, however recent the last update is. */
+    /** Makes the next {@link #refreshIfDue} update everything, even if the last update is recent. */
     void invalidate(long nowMicros) {
-        refreshedMicros = nowMicros - INTERVAL_MICROS;
+        lastRefreshMicros = nowMicros - INTERVAL_MICROS;
     }
 
-    /** Updates everything if the last update is older than the interval. */
+    /** Updates everything if the interval since the last update has elapsed. */
     void refreshIfDue(long nowMicros) {
-        if (nowMicros - refreshedMicros < INTERVAL_MICROS) {
+        if (nowMicros - lastRefreshMicros < INTERVAL_MICROS) {
             return;
         }
-        refreshedMicros = nowMicros;
+        lastRefreshMicros = nowMicros;
         rates.measure(nowMicros);
         log.writeIfDue(nowMicros);
         outliers.updatePanicMode(nowMicros);
--- a/src/main/java/loadbalancer/decision/RoutingTable.java
+++ b/src/main/java/loadbalancer/decision/RoutingTable.java
@@ -6,14 +6,15 @@
 import java.util.Map;
 
 /**
- * Solves Eq. (4) with the current estimates and keeps the endpoints to draw from with their probabilities {@code p_i /
- * k_i} (HALO_PoD, section IV-C): the group's part of the requests, divided by its number of endpoints. The groups are
- * the machine types; an endpoint that deviates from its type or is in slow start is a group of its own.
+ * Solves Eq. (4) with the current estimates and keeps the endpoints of the subset with their routing weights. A routing
+ * weight is the probability {@code p_i / k_i} with which an endpoint is drawn (HALO_PoD, section IV-C): its group's
+ * fraction of the requests, divided by the number of endpoints in the group. Endpoints are grouped by machine type; an
+ * endpoint that deviates from its machine type or is in slow start forms a group of its own.
  */
 final class RoutingTable {
     /**
-     * Endpoints to which Eq. (4) gives nothing get this part of their service rate as weight: they are drawn when all
-     * others are full.
+     * Routing weight of an endpoint to which Eq. (4) assigns no requests, relative to its service rate. It is greater
+     * than 0 so that the endpoint is drawn when all others are full.
      */
     private static final double MIN_WEIGHT_RATIO = 1e-6;
 
@@ -31,7 +32,7 @@
     private final List<TrackedEndpoint> inSlowStart = new ArrayList<>();
     private double bestSpeedFactor = 1;
     private double cores;
-    private double capacity;
+    private double capacityPerSecond;
     private double weightSum;
 
     RoutingTable(
@@ -51,11 +52,12 @@
         this.slowStart = slowStart;
     }
 
-    /** Replaces the table by a new solution; sets the routing weight of each endpoint. */
+    /** Solves Eq. (4) again, replaces the contents of the table and sets the routing weight of each endpoint. */
     void solve(long nowMicros) {
         clear();
         decayStaleEstimates(nowMicros);
-        List<List<TrackedEndpoint>> groups = new ArrayList<>(groups(nowMicros).values());
+        List<List<TrackedEndpoint>> groups =
+                new ArrayList<>(groupMembers(nowMicros).values());
         double[] sizes = new double[groups.size()];
         double[] serviceRates = new double[groups.size()];
         for (int i = 0; i < sizes.length; i++) {
@@ -66,12 +68,12 @@
         double arrivalRate = rates.fleetPerSecond()
                 * subset.members().size()
                 / Math.max(1, registry.ready().size());
-        double[] parts = HaloSplit.split(sizes, serviceRates, arrivalRate);
+        double[] fractions = HaloSplit.split(sizes, serviceRates, arrivalRate);
         for (int i = 0; i < sizes.length; i++) {
-            double weight = Math.max(parts[i] / sizes[i], MIN_WEIGHT_RATIO * serviceRates[i]);
+            double weight = Math.max(fractions[i] / sizes[i], MIN_WEIGHT_RATIO * serviceRates[i]);
             for (TrackedEndpoint endpoint : groups.get(i)) {
                 endpoint.setRoutingWeight(weight);
-                add(endpoint, parts[i] > 0, nowMicros);
+                add(endpoint, fractions[i] > 0, nowMicros);
             }
         }
     }
@@ -83,11 +85,11 @@
         inOtherZones.clear();
         inSlowStart.clear();
         cores = 0;
-        capacity = 0;
+        capacityPerSecond = 0;
         weightSum = 0;
     }
 
-    /** Lets speed estimates without recent responses return, so that endpoints that seem slow are tried again. */
+    /** Decays speed estimates that no recent response supports, so that endpoints estimated as slow are tried again. */
     private void decayStaleEstimates(long nowMicros) {
         for (MachineTypeEstimate machineType : registry.machineTypes()) {
             machineType.decayIfStale(nowMicros);
@@ -97,18 +99,19 @@
         }
     }
 
-    /** The members of the subset by group, keyed by the machine type or by the endpoint itself. */
-    private Map<Object, List<TrackedEndpoint>> groups(long nowMicros) {
+    /** Groups the members of the subset; the key is the machine type, or the endpoint if it forms its own group. */
+    private Map<Object, List<TrackedEndpoint>> groupMembers(long nowMicros) {
         Map<Object, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
         for (TrackedEndpoint endpoint : subset.members()) {
-            boolean separate = SpeedEstimator.isDeviating(endpoint) || slowStart.capacityRatio(endpoint, nowMicros) < 1;
-            Object key = separate ? endpoint : endpoint.machineType();
+            boolean formsOwnGroup =
+                    SpeedEstimator.isDeviating(endpoint) || slowStart.capacityRatio(endpoint, nowMicros) < 1;
+            Object key = formsOwnGroup ? endpoint : endpoint.machineType();
             groups.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
         }
         return groups;
     }
 
-    /** Requests a second that one endpoint of the group can serve. */
+    /** Returns the requests per second that one endpoint of the group can serve. */
     private double serviceRate(List<TrackedEndpoint> group, long nowMicros) {
         TrackedEndpoint first = group.get(0);
         double speedFactorSum = 0;
@@ -122,20 +125,20 @@
                 / meanServiceMicros;
     }
 
-    /** Counts the group's cores and capacity, scaled from the subset to all ready endpoints. */
+    /** Adds the cores and the capacity of a group to the totals, scaled from the subset to all ready endpoints. */
     private void addCapacity(List<TrackedEndpoint> group, double serviceRate, long nowMicros) {
-        int ready = registry.ready().size();
-        int members = subset.members().size();
+        int readyCount = registry.ready().size();
+        int subsetSize = subset.members().size();
         for (TrackedEndpoint endpoint : group) {
             if (!OutlierDetector.isEjected(endpoint, nowMicros)) {
                 double capacityRatio = slowStart.capacityRatio(endpoint, nowMicros);
-                cores += endpoint.machineType().cores() * capacityRatio * ready / members;
-                capacity += serviceRate * ready / members;
+                cores += endpoint.machineType().cores() * capacityRatio * readyCount / subsetSize;
+                capacityPerSecond += serviceRate * readyCount / subsetSize;
             }
         }
     }
 
-    private void add(TrackedEndpoint endpoint, boolean hasShare, long nowMicros) {
+    private void add(TrackedEndpoint endpoint, boolean receivesRequests, long nowMicros) {
         double capacityRatio = slowStart.capacityRatio(endpoint, nowMicros);
         bestSpeedFactor = Math.min(bestSpeedFactor, endpoint.speedFactor() / capacityRatio);
         all.add(endpoint);
@@ -143,47 +146,50 @@
         if (settings.prefersLocalZone()) {
             (endpoint.zoneIndex() == settings.localZoneIndex() ? inLocalZone : inOtherZones).add(endpoint);
         }
-        if (hasShare && capacityRatio < 1) {
+        if (receivesRequests && capacityRatio < 1) {
             inSlowStart.add(endpoint);
         }
     }
 
-    /** The members of the subset. */
+    /** Returns the members of the subset. */
     WeightedSampler all() {
         return all;
     }
 
-    /** The members of the local zone; empty where crossing zones has no price. */
+    /** Returns the members of the subset in the local zone; empty unless the local zone is preferred. */
     WeightedSampler inLocalZone() {
         return inLocalZone;
     }
 
-    /** The members of the other zones; empty where crossing zones has no price. */
+    /** Returns the members of the subset in the other zones; empty unless the local zone is preferred. */
     WeightedSampler inOtherZones() {
         return inOtherZones;
     }
 
-    /** Endpoints in slow start that have a share of the requests. */
+    /** Returns the endpoints in slow start to which Eq. (4) assigns requests. */
     List<TrackedEndpoint> inSlowStart() {
         return inSlowStart;
     }
 
-    /** The speed factor of the fastest endpoint. */
+    /**
+     * Returns the lowest speed factor in the subset, where the speed factor of an endpoint in slow start is divided by
+     * its capacity ratio; 1 if no endpoint is ready.
+     */
     double bestSpeedFactor() {
         return bestSpeedFactor;
     }
 
-    /** Cores of all ready endpoints that are not ejected, times the part that slow start leaves of each. */
+    /** Returns the cores of all ready endpoints that are not ejected, each multiplied by its capacity ratio. */
     double cores() {
         return cores;
     }
 
-    /** Requests a second that all ready endpoints that are not ejected can serve. */
+    /** Returns the requests per second that all ready endpoints that are not ejected can serve together. */
     double capacityPerSecond() {
-        return capacity;
+        return capacityPerSecond;
     }
 
-    /** The sum of the routing weights of the endpoints that are not ejected. */
+    /** Returns the sum of the routing weights of the subset's members that are not ejected. */
     double weightSum() {
         return weightSum;
     }
--- a/src/main/java/loadbalancer/decision/SampledLoadSelector.java
+++ b/src/main/java/loadbalancer/decision/SampledLoadSelector.java
@@ -1,22 +1,23 @@
 package loadbalancer.decision;
 
 /**
- * Chooses an endpoint by sampled load, as HALO_PoD does (section IV-C): a health check asks both endpoints of a drawn
- * pair for a load report, unless their load is known, and the request waits for the reports. The less loaded one is
- * chosen if it has a free core; if several pairs had none, it is chosen if it has any room. An endpoint that does not
- * reply in time is not chosen.
+ * Selects an endpoint by sampled load, as HALO_PoD does (section IV-C). It draws a pair of endpoints, sends a health
+ * check to each one whose load is not known, and lets the request wait for the load reports. The less loaded endpoint
+ * is selected if it has a free core. After several pairs without a free core, an endpoint below its load limit is
+ * sufficient. An endpoint that does not reply in time is not selected.
  */
 final class SampledLoadSelector {
-    /** From this many pairs on, an endpoint with room is chosen even if it has no free core. */
+    /** From this many pairs on, an endpoint below its load limit is selected even if it has no free core. */
     private static final int MAX_PAIRS = 3;
-    /** Longest wait for the replies of a pair: until the next sweep of the queue. */
+    /** Maximum wait for the replies of a pair: until the next sweep of the queue. */
     private static final long WAIT_MICROS = RequestQueue.SWEEP_MICROS;
-    /** The pause before each further pair doubles up to this many times, to limit the health checks of a long wait. */
+    /** Maximum number of times that the delay before the next pair doubles; it limits health checks in a long wait. */
     private static final int MAX_DOUBLINGS = 2;
     /**
-     * A load report is current while other sidecars have sent the endpoint fewer requests than this since, on average.
+     * A load report is current as long as the other sidecars are expected to have sent the endpoint fewer requests than
+     * this since the report.
      */
-    private static final double MAX_UNSEEN_REQUESTS = 0.15;
+    private static final double MAX_UNREPORTED_REQUESTS = 0.15;
 
     private final EndpointRegistry registry;
     private final RequestRateEstimator rates;
@@ -26,19 +27,19 @@
     private final EndpointAvailability availability;
     private final PowerOfTwoSelector powerOfTwo;
 
-    /** The pair of endpoints that was drawn for a request, and how many pairs were drawn before it. */
+    /** The state of load sampling for one request: the drawn pair of endpoints and the number of compared pairs. */
     static final class Sampling {
-        /** Null where no pair is being asked. */
+        /** Null if the request does not wait for the replies of a pair. */
         private TrackedEndpoint first;
-        /** Null where only one endpoint had room. */
+        /** Null if only one endpoint could take the request. */
         private TrackedEndpoint second;
 
-        private long askedMicros;
+        private long drawnMicros;
         private long nextPairMicros;
-        /** Pairs that were compared so far. */
-        private int pairs;
+        /** Number of pairs compared so far. */
+        private int comparedPairs;
 
-        /** Whether the request waits for the replies of a pair. */
+        /** Returns whether the request waits for the replies of a pair. */
         boolean isInProgress() {
             return first != null;
         }
@@ -61,13 +62,16 @@
         this.powerOfTwo = powerOfTwo;
     }
 
-    /** The endpoint for the request, or null where it has to wait. */
+    /** Returns the endpoint for the request, or null if the request has to wait. */
     TrackedEndpoint select(long nowMicros, PendingRequest request) {
-        return select(nowMicros, request, slowStartTurn(nowMicros, request));
+        return select(nowMicros, request, slowStartCandidate(nowMicros, request));
     }
 
-    /** An endpoint in slow start that has a free core and may be sent the request now, or null. It joins the pair. */
-    private TrackedEndpoint slowStartTurn(long nowMicros, PendingRequest request) {
+    /**
+     * Returns an endpoint in slow start that has a free core and can take the request now, or null. It becomes the
+     * first endpoint of the next pair.
+     */
+    private TrackedEndpoint slowStartCandidate(long nowMicros, PendingRequest request) {
         for (int i = 0; i < routingTable.inSlowStart().size(); i++) {
             TrackedEndpoint endpoint = routingTable.inSlowStart().get(i);
             if (hasFreeCore(nowMicros, request, endpoint)) {
@@ -77,14 +81,14 @@
         return null;
     }
 
-    private TrackedEndpoint select(long nowMicros, PendingRequest request, TrackedEndpoint turn) {
+    private TrackedEndpoint select(long nowMicros, PendingRequest request, TrackedEndpoint slowStartEndpoint) {
         Sampling sampling = request.sampling;
-        TrackedEndpoint fresh = reportHandler.freshEndpoint();
-        if (fresh != null && sampling.pairs > 0 && hasFreeCore(nowMicros, request, fresh)) {
+        TrackedEndpoint reporting = reportHandler.freshEndpoint();
+        if (reporting != null && sampling.comparedPairs > 0 && hasFreeCore(nowMicros, request, reporting)) {
             sampling.first = null;
-            return fresh;
+            return reporting;
         }
-        if (!ensurePair(nowMicros, request, turn) || isAwaited(nowMicros, request)) {
+        if (!ensurePair(nowMicros, request, slowStartEndpoint) || awaitsReport(nowMicros, request)) {
             return null;
         }
         TrackedEndpoint first = sampling.first;
@@ -92,33 +96,38 @@
         sampling.first = null;
         TrackedEndpoint best = lessLoaded(
                 nowMicros, request, knownOrNull(nowMicros, request, first), knownOrNull(nowMicros, request, second));
-        if (best == null && reportHandler.lastReportMicros() < sampling.askedMicros) {
-            // No endpoint has reported since: this sidecar itself is late. Compare by local attempts.
+        if (best == null && reportHandler.lastReportMicros() < sampling.drawnMicros) {
+            // No endpoint has reported since the pair was drawn, so this sidecar itself is slow. Compare by local
+            // attempts.
             return lessLoaded(nowMicros, request, first, second);
         }
-        sampling.pairs++;
-        if (best != null && (sampling.pairs >= MAX_PAIRS || hasFreeCore(nowMicros, request, best))) {
+        sampling.comparedPairs++;
+        if (best != null && (sampling.comparedPairs >= MAX_PAIRS || hasFreeCore(nowMicros, request, best))) {
             return best;
         }
-        if (sampling.pairs < MAX_PAIRS) {
-            return select(nowMicros, request, turn);
+        if (sampling.comparedPairs < MAX_PAIRS) {
+            return select(nowMicros, request, slowStartEndpoint);
         }
-        sampling.nextPairMicros = nowMicros + (WAIT_MICROS << Math.min(sampling.pairs - MAX_PAIRS, MAX_DOUBLINGS));
+        sampling.nextPairMicros =
+                nowMicros + (WAIT_MICROS << Math.min(sampling.comparedPairs - MAX_PAIRS, MAX_DOUBLINGS));
         return null;
     }
 
-    /** Whether the load of one of the pair is unknown and its report may still come. */
-    private boolean isAwaited(long nowMicros, PendingRequest request) {
+    /** Returns whether the load of an endpoint of the pair is unknown and its report may still arrive in time. */
+    private boolean awaitsReport(long nowMicros, PendingRequest request) {
         Sampling sampling = request.sampling;
-        if (nowMicros - sampling.askedMicros >= WAIT_MICROS) {
+        if (nowMicros - sampling.drawnMicros >= WAIT_MICROS) {
             return false;
         }
         return !isKnown(nowMicros, request, sampling.first)
                 || sampling.second != null && !isKnown(nowMicros, request, sampling.second);
     }
 
-    /** Draws a pair and asks for its load, unless one is being asked already; false if none can be drawn now. */
-    private boolean ensurePair(long nowMicros, PendingRequest request, TrackedEndpoint turn) {
+    /**
+     * Draws a pair and checks the endpoints whose load is unknown, unless the request already has a pair. Returns
+     * whether the request has a pair now.
+     */
+    private boolean ensurePair(long nowMicros, PendingRequest request, TrackedEndpoint slowStartEndpoint) {
         Sampling sampling = request.sampling;
         if (sampling.first != null) {
             return true;
@@ -126,19 +135,19 @@
         if (nowMicros < sampling.nextPairMicros) {
             return false;
         }
-        sampling.first = turn != null ? turn : drawWithRoom(nowMicros, request, null);
+        sampling.first = slowStartEndpoint != null ? slowStartEndpoint : drawBelowLimit(nowMicros, request, null);
         if (sampling.first == null) {
             return false;
         }
-        sampling.second = drawWithRoom(nowMicros, request, sampling.first);
-        sampling.askedMicros = nowMicros;
+        sampling.second = drawBelowLimit(nowMicros, request, sampling.first);
+        sampling.drawnMicros = nowMicros;
         checkUnlessKnown(nowMicros, request, sampling.first);
         checkUnlessKnown(nowMicros, request, sampling.second);
         return true;
     }
 
-    private TrackedEndpoint drawWithRoom(long nowMicros, PendingRequest request, TrackedEndpoint excluded) {
-        return powerOfTwo.draw(nowMicros, request, routingTable.all(), RoomNeeded.BELOW_LIMIT, excluded);
+    private TrackedEndpoint drawBelowLimit(long nowMicros, PendingRequest request, TrackedEndpoint excluded) {
+        return powerOfTwo.draw(nowMicros, request, routingTable.all(), CapacityRequirement.BELOW_LIMIT, excluded);
     }
 
     private TrackedEndpoint knownOrNull(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
@@ -152,38 +161,41 @@
     }
 
     /**
-     * Whether the endpoint's load is known well enough to compare: reported since the pair was drawn, or so recently
-     * that other sidecars have hardly sent anything since.
+     * Returns whether the endpoint's load is known well enough to compare it: the endpoint has reported since the pair
+     * was drawn, or so recently that other sidecars are unlikely to have sent it requests since.
      */
     private boolean isKnown(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
         long reportedMicros = endpoint.reportedLoad.reportedMicros();
-        if (reportedMicros >= request.sampling.askedMicros) {
+        if (reportedMicros >= request.sampling.drawnMicros) {
             return true;
         }
-        double remoteRate = Math.max(0, rates.fleetPerSecond() - rates.localPerSecond());
-        double remotePerEndpointMicro =
-                remoteRate / Math.max(1, registry.ready().size()) / RateMath.MICROS_PER_SECOND;
-        return (nowMicros - reportedMicros) * remotePerEndpointMicro < MAX_UNSEEN_REQUESTS;
+        double remoteRatePerSecond = Math.max(0, rates.fleetPerSecond() - rates.localPerSecond());
+        double remoteRequestsPerEndpointMicro =
+                remoteRatePerSecond / Math.max(1, registry.ready().size()) / RateMath.MICROS_PER_SECOND;
+        return (nowMicros - reportedMicros) * remoteRequestsPerEndpointMicro < MAX_UNREPORTED_REQUESTS;
     }
 
     private boolean hasFreeCore(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
-        return availability.canTake(nowMicros, request, endpoint, RoomNeeded.FREE_CORE);
+        return availability.canTake(nowMicros, request, endpoint, CapacityRequirement.FREE_CORE);
     }
 
-    /** The less loaded one with room of two endpoints, each of which may be null. */
+    /**
+     * Returns the less loaded of two endpoints, each of which may be null. Ignores an endpoint that cannot take the
+     * request; returns null if neither can.
+     */
     private TrackedEndpoint lessLoaded(
             long nowMicros, PendingRequest request, TrackedEndpoint first, TrackedEndpoint second) {
-        TrackedEndpoint firstWithRoom = withRoomOrNull(nowMicros, request, first);
-        TrackedEndpoint secondWithRoom = withRoomOrNull(nowMicros, request, second);
-        if (firstWithRoom == null || secondWithRoom == null) {
-            return firstWithRoom == null ? secondWithRoom : firstWithRoom;
+        TrackedEndpoint firstBelowLimit = belowLimitOrNull(nowMicros, request, first);
+        TrackedEndpoint secondBelowLimit = belowLimitOrNull(nowMicros, request, second);
+        if (firstBelowLimit == null || secondBelowLimit == null) {
+            return firstBelowLimit == null ? secondBelowLimit : firstBelowLimit;
         }
-        return powerOfTwo.lessLoaded(nowMicros, firstWithRoom, secondWithRoom);
+        return powerOfTwo.lessLoaded(nowMicros, firstBelowLimit, secondBelowLimit);
     }
 
-    private TrackedEndpoint withRoomOrNull(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
+    private TrackedEndpoint belowLimitOrNull(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
         boolean canTake =
-                endpoint != null && availability.canTake(nowMicros, request, endpoint, RoomNeeded.BELOW_LIMIT);
+                endpoint != null && availability.canTake(nowMicros, request, endpoint, CapacityRequirement.BELOW_LIMIT);
         return canTake ? endpoint : null;
     }
 }
--- a/src/main/java/loadbalancer/decision/SlowStart.java
+++ b/src/main/java/loadbalancer/decision/SlowStart.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.settings.EndpointRules;
 
-/** The part of its full capacity that an endpoint has at least after its start: the slowest ramp the rules allow. */
+/** Computes the minimum capacity of an endpoint after its start: the slowest ramp that the rules allow. */
 final class SlowStart {
     private final PolicySettings settings;
 
@@ -10,7 +10,10 @@
         this.settings = settings;
     }
 
-    /** Rises linearly from the rules' initial ratio to 1 over the time of the slow start; 1 outside it. */
+    /**
+     * Returns the endpoint's capacity relative to its full capacity. The ratio increases linearly from the initial
+     * ratio of the rules to 1 during slow start; it is 1 outside slow start.
+     */
     double capacityRatio(TrackedEndpoint endpoint, long nowMicros) {
         long startedMicros = endpoint.listEntry().startedMicros();
         EndpointRules rules = settings.rules();
--- a/src/main/java/loadbalancer/decision/SlowStartBudget.java
+++ b/src/main/java/loadbalancer/decision/SlowStartBudget.java
@@ -3,24 +3,27 @@
 import loadbalancer.settings.EndpointRules;
 
 /**
- * Limits what this sidecar sends to an endpoint in slow start, so that all sidecars together stay below the load that
- * counts as overload.
+ * Limits the work that this sidecar sends to an endpoint in slow start, so that the load from all sidecars together
+ * stays below the load that counts as overload.
  *
- * <p>Time since the endpoint's start is divided into slots of half an overload window. A window overlaps up to three
- * slots, so the sidecars together may send a third of the window's budget in each slot, counted in requests of mean
- * work. Each sidecar gets an equal part; the remainder is given out in turns, whose order is computed from the
- * sidecar's index, the endpoint and the slot. Where load reports are sampled, the turns follow one another within the
- * slot, so that each sidecar sees the effect of the one before, and the budget of a slot is twice as large.
+ * <p>The time since the endpoint's start is divided into slots of half an overload window. A window overlaps up to
+ * three slots, so the sidecars together may send a third of the window's budget in each slot, counted in requests of
+ * mean work. The slot's budget is divided equally among the sidecars. In each slot, every sidecar has a turn: its
+ * position in an order computed from the sidecar's index, the endpoint and the slot. The sidecars with the first turns
+ * get the remainder of the division. If load is sampled, the turns start one after another within the slot, so that
+ * each sidecar sees the effect of the previous one, and the budget of a slot is twice as large.
  */
 final class SlowStartBudget {
-    /** The part of the budget that is used; the rest is a margin because the work of requests is an estimate. */
+    /** Fraction of the budget that is used; the rest is a safety margin because the work of requests is estimated. */
     private static final double BUDGET_RATIO = 0.9;
 
-    private static final double SLOTS_PER_WINDOW = 3;
-    private static final double SLOTS_PER_WINDOW_SAMPLED = 1.5;
-    /** Overload window, in microseconds, whose slot (half the window) lasts one second. */
-    private static final double WINDOW_MICROS_PER_SLOT_SECOND = 2 * RateMath.MICROS_PER_SECOND;
-    /** Where load reports are sampled, the turns of a slot are spread over the window divided by this. */
+    /** Number of slots that a window may overlap; the window's budget is divided by it. */
+    private static final double BUDGET_DIVISOR = 3;
+    /** Divisor of the window's budget if load is sampled. */
+    private static final double SAMPLED_BUDGET_DIVISOR = 1.5;
+    /** Length of the overload window whose slots (half a window each) last one second. */
+    private static final double ONE_SECOND_SLOT_WINDOW_MICROS = 2 * RateMath.MICROS_PER_SECOND;
+    /** If load is sampled, the turns of a slot start within the length of the window divided by this. */
     private static final int TURN_SPREAD_DIVISOR = 4;
 
     private final PolicySettings settings;
@@ -29,7 +32,7 @@
     private final RequestRateEstimator rates;
     private final RoutingTable routingTable;
 
-    /** The work that this sidecar sent to an endpoint in the latest slot. */
+    /** The work that this sidecar has sent to an endpoint in the latest slot with a send. */
     static final class SentWork {
         private long slot;
         private double workMicros;
@@ -48,20 +51,20 @@
         this.routingTable = routingTable;
     }
 
-    /** Whether the endpoint may be sent a request of this work now; always true outside slow start. */
+    /** Returns whether the budget allows sending a request with this work now; always true outside slow start. */
     boolean allows(TrackedEndpoint endpoint, double workMicros, long nowMicros) {
         if (slowStart.capacityRatio(endpoint, nowMicros) >= 1) {
             return true;
         }
         long slot = slot(endpoint, nowMicros);
         long slotStartMicros = endpoint.listEntry().startedMicros() + slot * slotMicros();
-        long fleetRequests = fleetRequests(endpoint, slotStartMicros);
+        long fleetBudgetRequests = fleetBudgetRequests(endpoint, slotStartMicros);
         long turn = Math.floorMod(
                 settings.sidecarIndex() - StableHash.mix(endpoint.id().hashCode(), (int) slot),
                 settings.sidecarCount());
-        long localRequests = localRequests(endpoint, fleetRequests, turn);
-        long turnMicros = slotStartMicros + turn * turnSpacingMicros(fleetRequests);
-        if (localRequests <= 0 || nowMicros < turnMicros) {
+        long localBudgetRequests = localBudgetRequests(endpoint, fleetBudgetRequests, turn);
+        long turnStartMicros = slotStartMicros + turn * turnSpacingMicros(fleetBudgetRequests);
+        if (localBudgetRequests <= 0 || nowMicros < turnStartMicros) {
             return false;
         }
         if (workMicros > WorkEstimator.MAX_MEAN_RATIO * work.meanWorkMicros()) {
@@ -69,10 +72,10 @@
         }
         SentWork sent = endpoint.slowStartWork;
         double sentMicros = sent.slot == slot ? sent.workMicros : 0;
-        return sentMicros == 0 || sentMicros + workMicros <= localRequests * work.meanWorkMicros();
+        return sentMicros == 0 || sentMicros + workMicros <= localBudgetRequests * work.meanWorkMicros();
     }
 
-    /** Adds sent work to the current slot. */
+    /** Adds the work of a sent request to the current slot. */
     void recordSend(TrackedEndpoint endpoint, double workMicros, long nowMicros) {
         SentWork sent = endpoint.slowStartWork;
         long slot = slot(endpoint, nowMicros);
@@ -88,8 +91,8 @@
         return settings.rules().overloadWindowMicros() / 2;
     }
 
-    /** Requests of mean work that all sidecars together may send in the slot. */
-    private long fleetRequests(TrackedEndpoint endpoint, long slotStartMicros) {
+    /** Returns the number of requests of mean work that all sidecars together may send in the slot. */
+    private long fleetBudgetRequests(TrackedEndpoint endpoint, long slotStartMicros) {
         EndpointRules rules = settings.rules();
         MachineTypeEstimate machineType = endpoint.machineType();
         double standardCores = slowStart.capacityRatio(endpoint, slotStartMicros)
@@ -97,43 +100,51 @@
                 / machineType.speedFactor();
         double windowBudgetMicros =
                 BUDGET_RATIO * rules.overloadMultiple() * standardCores * rules.overloadWindowMicros();
-        double slots = settings.samplesLoad() ? SLOTS_PER_WINDOW_SAMPLED : SLOTS_PER_WINDOW;
-        return (long) (windowBudgetMicros / slots / work.meanWorkMicros());
+        double divisor = settings.samplesLoad() ? SAMPLED_BUDGET_DIVISOR : BUDGET_DIVISOR;
+        return (long) (windowBudgetMicros / divisor / work.meanWorkMicros());
     }
 
-    /** This sidecar's part of the slot's requests. */
-    private long localRequests(TrackedEndpoint endpoint, long fleetRequests, long turn) {
-        int sidecars = settings.sidecarCount();
-        if (!settings.samplesLoad() && fleetRequests < sidecars) {
-            return turn < turns(endpoint, fleetRequests) ? maxRequestsPerTurn(fleetRequests) : 0;
+    /** Returns the number of requests of mean work that this sidecar may send in the slot. */
+    private long localBudgetRequests(TrackedEndpoint endpoint, long fleetBudgetRequests, long turn) {
+        int sidecarCount = settings.sidecarCount();
+        if (!settings.samplesLoad() && fleetBudgetRequests < sidecarCount) {
+            return turn < sendingSidecarCount(endpoint, fleetBudgetRequests)
+                    ? maxRequestsPerTurn(fleetBudgetRequests)
+                    : 0;
         }
-        return fleetRequests / sidecars + (turn < fleetRequests % sidecars ? 1 : 0);
+        return fleetBudgetRequests / sidecarCount + (turn < fleetBudgetRequests % sidecarCount ? 1 : 0);
     }
 
-    private long turnSpacingMicros(long fleetRequests) {
+    /** Returns the time between the starts of two consecutive turns; 0 if load is not sampled. */
+    private long turnSpacingMicros(long fleetBudgetRequests) {
         if (!settings.samplesLoad()) {
             return 0;
         }
-        return settings.rules().overloadWindowMicros() / TURN_SPREAD_DIVISOR / Math.max(1, fleetRequests);
+        return settings.rules().overloadWindowMicros() / TURN_SPREAD_DIVISOR / Math.max(1, fleetBudgetRequests);
     }
 
-    /** Most requests that this sidecar sends in its turn: its part, by rate, of the slot's requests, and one more. */
-    private long maxRequestsPerTurn(long fleetRequests) {
-        return 1 + (long) RateMath.safeDivide(fleetRequests * rates.localPerSecond(), rates.fleetPerSecond());
+    /**
+     * Returns the maximum number of requests that this sidecar sends in its turn: its fraction, by request rate, of the
+     * slot's requests, plus one.
+     */
+    private long maxRequestsPerTurn(long fleetBudgetRequests) {
+        return 1 + (long) RateMath.safeDivide(fleetBudgetRequests * rates.localPerSecond(), rates.fleetPerSecond());
     }
 
     /**
-     * How many sidecars have a turn in a slot with fewer requests than sidecars. Most sidecars do not draw the endpoint
-     * during their turn. The number of turns is therefore chosen so that the expected draws, limited by the most that
-     * each sidecar sends, add up to the slot's requests. The endpoint is assumed idle, so that it is chosen whenever it
-     * is one of the two drawn.
+     * Returns how many sidecars may send in a slot whose budget has fewer requests than there are sidecars. Most
+     * sidecars do not draw the endpoint during the slot. The number is therefore computed so that the expected draws,
+     * limited to the maximum that each sidecar sends, add up to the slot's budget. The endpoint is assumed to be idle,
+     * so that it is selected whenever it is one of the two drawn endpoints.
      */
-    private double turns(TrackedEndpoint endpoint, long fleetRequests) {
-        double fleetRate = rates.fleetPerSecond();
-        double drawsInSlot = 2 * fleetRate * settings.rules().overloadWindowMicros() / WINDOW_MICROS_PER_SLOT_SECOND;
-        double drawn = RateMath.safeDivide(drawsInSlot * endpoint.routingWeight(), routingTable.weightSum());
-        double drawnLocally = RateMath.safeDivide(drawn * rates.localPerSecond(), fleetRate);
-        double sent = drawn * Math.min(1, RateMath.safeDivide(maxRequestsPerTurn(fleetRequests), drawnLocally));
-        return RateMath.safeDivide(settings.sidecarCount() * fleetRequests, sent);
+    private double sendingSidecarCount(TrackedEndpoint endpoint, long fleetBudgetRequests) {
+        double fleetRatePerSecond = rates.fleetPerSecond();
+        double drawsInSlot =
+                2 * fleetRatePerSecond * settings.rules().overloadWindowMicros() / ONE_SECOND_SLOT_WINDOW_MICROS;
+        double fleetDraws = RateMath.safeDivide(drawsInSlot * endpoint.routingWeight(), routingTable.weightSum());
+        double localDraws = RateMath.safeDivide(fleetDraws * rates.localPerSecond(), fleetRatePerSecond);
+        double expectedSends =
+                fleetDraws * Math.min(1, RateMath.safeDivide(maxRequestsPerTurn(fleetBudgetRequests), localDraws));
+        return RateMath.safeDivide(settings.sidecarCount() * fleetBudgetRequests, expectedSends);
     }
 }
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -1,23 +1,28 @@
 package loadbalancer.decision;
 
 /**
- * Learns from response times and predicts them. It learns the speed factor of a machine type, an endpoint's deviation
- * from it, the number of cores where no load report shows it, and the work of request classes without cost hints. The
- * paper assumes known speeds (section II); here they are estimated.
+ * Predicts response times and learns from them. It learns the speed factor of a machine type, an endpoint's deviation
+ * from that factor, the number of cores if endpoints send no load reports, and the work of request classes without cost
+ * hints. The HALO paper assumes known speeds (section II); here they are estimated.
  */
 final class SpeedEstimator {
-    /** Step towards each observation: about ten responses determine an endpoint's speed. */
+    /** Weight of one response in the speed estimates: about ten responses determine an endpoint's speed. */
     private static final double SPEED_GAIN = 0.1;
-    /** Cores and work are learned more slowly, as each response says less about them. */
+    /** Weight of one response in the estimates of cores and work; lower because a response says less about them. */
     private static final double SLOW_GAIN = SPEED_GAIN / 4;
-    /** A response counts as at most this many times slower than expected: the work of requests has a long tail. */
-    private static final double MAX_STEP_RATIO = 3;
-    /** An endpoint this many times slower or faster than its machine type is a group of its own; more than noise. */
+    /**
+     * Upper bound of observed relative to expected response time: the work of requests has a long-tailed distribution.
+     */
+    private static final double MAX_OBSERVED_RATIO = 3;
+    /**
+     * An endpoint that is slower or faster than its machine type by more than this factor forms a group of its own. The
+     * factor is greater than the random variation.
+     */
     private static final double DEVIATION_RATIO = 1.6;
-    /** Without responses for this long a deviation returns towards 1, so that the endpoint is tried again. */
+    /** A deviation without observations for this long decays towards 1, so that the endpoint is tried again. */
     private static final long STALE_MICROS = 3_000_000;
-    /** Step of that return at each solution of the routing table. */
-    private static final double RETURN_GAIN = 0.02;
+    /** Fraction by which a stale deviation approaches 1 each time the routing table is solved. */
+    private static final double DECAY_GAIN = 0.02;
 
     private final PolicySettings settings;
     private final WorkEstimator work;
@@ -26,7 +31,7 @@
     /** An endpoint's speed factor relative to that of its machine type. */
     static final class Deviation {
         private double ratio = 1;
-        /** When it was last learned from an attempt. */
+        /** When the estimator last learned from an attempt at the endpoint. */
         private long lastObservationMicros;
 
         double ratio() {
@@ -45,7 +50,8 @@
     }
 
     /**
-     * Expected response time of work on an endpoint that holds {@code load} other requests, first come first served.
+     * Returns the expected response time of a request with this work on an endpoint that holds {@code load} other
+     * requests and serves them in order of arrival.
      */
     double expectedResponseMicros(TrackedEndpoint endpoint, double workMicros, double load, long nowMicros) {
         return endpoint.speedFactor()
@@ -53,23 +59,23 @@
                 / slowStart.capacityRatio(endpoint, nowMicros);
     }
 
-    /** Work of standard cores that one more request would wait for. */
+    /** Returns the work, in microseconds of a standard core, that one more request would wait for. */
     private double queuedWorkMicros(TrackedEndpoint endpoint, double load) {
         double cores = Math.max(1, endpoint.machineType().cores());
         return Math.max(0, load + 1 - cores) / cores * work.meanWorkMicros();
     }
 
-    /** Whether the endpoint differs so much from its machine type that it is a group of its own. */
+    /** Returns whether the endpoint deviates so much from its machine type that it forms a group of its own. */
     static boolean isDeviating(TrackedEndpoint endpoint) {
         double ratio = endpoint.deviation.ratio;
         return ratio > DEVIATION_RATIO || ratio * DEVIATION_RATIO < 1;
     }
 
-    /** Lets the deviation of an endpoint without recent responses return towards 1. */
+    /** Decays the deviation of an endpoint without recent observations towards 1. */
     void decayIfStale(TrackedEndpoint endpoint, long nowMicros) {
         Deviation deviation = endpoint.deviation;
         if (nowMicros - deviation.lastObservationMicros > STALE_MICROS) {
-            deviation.ratio += RETURN_GAIN * (1 - deviation.ratio);
+            deviation.ratio += DECAY_GAIN * (1 - deviation.ratio);
         }
     }
 
@@ -79,23 +85,24 @@
         double observedFactor = observedFactor(attempt, latencyMicros);
         double gain = SPEED_GAIN;
         if (!settings.hasLoadReports() && slowStart.capacityRatio(endpoint, nowMicros) >= 1) {
-            double queuedPart = queuedPart(attempt);
-            learnCores(attempt, observedFactor, queuedPart);
-            gain *= 1 - queuedPart;
+            double queuedFraction = queuedFraction(attempt);
+            learnCores(attempt, observedFactor, queuedFraction);
+            gain *= 1 - queuedFraction;
         }
         recordObservation(endpoint, nowMicros);
         if (!isDeviating(endpoint)) {
             endpoint.machineType().learnSpeed(observedFactor, gain, SPEED_GAIN);
         }
-        endpoint.deviation.ratio *= 1 + gain * excess(endpoint, observedFactor);
+        endpoint.deviation.ratio *= 1 + gain * relativeError(endpoint, observedFactor);
         if (attempt.request().clientRequest().costHintMicros() <= 0) {
-            work.adjustClass(attempt.request().requestClass().name(), SLOW_GAIN * excess(endpoint, observedFactor));
+            work.adjustClass(
+                    attempt.request().requestClass().name(), SLOW_GAIN * relativeError(endpoint, observedFactor));
         }
     }
 
     /**
-     * Learns from an attempt that ended without a response: one would have taken at least this long. Learns nothing if
-     * the endpoint's speed factor already predicts a longer time.
+     * Learns from an attempt that ended without a response: a response would have taken at least this long. Learns
+     * nothing if the endpoint's speed factor already predicts a longer time.
      */
     void learnTimeout(Attempt attempt, long latencyMicros, long nowMicros) {
         TrackedEndpoint endpoint = attempt.endpoint();
@@ -104,30 +111,30 @@
             return;
         }
         recordObservation(endpoint, nowMicros);
-        endpoint.deviation.ratio *= 1 + SPEED_GAIN * excess(endpoint, observedFactor);
+        endpoint.deviation.ratio *= 1 + SPEED_GAIN * relativeError(endpoint, observedFactor);
     }
 
-    /** The speed factor at which the attempt would have been expected to take as long as it did. */
+    /** Returns the speed factor for which the forecast would have equaled the attempt's latency. */
     private static double observedFactor(Attempt attempt, long latencyMicros) {
         return latencyMicros / Math.max(1, attempt.forecast().unitSpeedResponseMicros());
     }
 
-    /** How much slower than estimated, relative to the estimate; negative if faster; bounded above. */
-    private static double excess(TrackedEndpoint endpoint, double observedFactor) {
-        return Math.min(MAX_STEP_RATIO, observedFactor / endpoint.speedFactor()) - 1;
+    /** Returns the observed minus the estimated speed factor, relative to the estimate; bounded above. */
+    private static double relativeError(TrackedEndpoint endpoint, double observedFactor) {
+        return Math.min(MAX_OBSERVED_RATIO, observedFactor / endpoint.speedFactor()) - 1;
     }
 
-    /** The part of the attempt's response time, 0 to 1, that it was expected to spend in the endpoint's queue. */
-    private double queuedPart(Attempt attempt) {
+    /** Returns the fraction of the attempt's response time, 0 to 1, that it was expected to spend queued. */
+    private double queuedFraction(Attempt attempt) {
         double queuedMicros =
                 queuedWorkMicros(attempt.endpoint(), attempt.forecast().load());
         return queuedMicros / (queuedMicros + attempt.request().workMicros());
     }
 
-    /** Time in the queue depends on the number of cores: corrects it by that part of the excess. */
-    private static void learnCores(Attempt attempt, double observedFactor, double queuedPart) {
+    /** Corrects the number of cores by the queued fraction of the error, because queueing time depends on the cores. */
+    private static void learnCores(Attempt attempt, double observedFactor, double queuedFraction) {
         TrackedEndpoint endpoint = attempt.endpoint();
-        endpoint.machineType().adjustCores(SLOW_GAIN * queuedPart * excess(endpoint, observedFactor));
+        endpoint.machineType().adjustCores(SLOW_GAIN * queuedFraction * relativeError(endpoint, observedFactor));
     }
 
     private static void recordObservation(TrackedEndpoint endpoint, long nowMicros) {
--- a/src/main/java/loadbalancer/decision/WeightedSampler.java
+++ b/src/main/java/loadbalancer/decision/WeightedSampler.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Draws endpoints with probabilities in proportion to their routing weights: one draw is one binary search. */
+/** Draws endpoints with probabilities proportional to their routing weights, by binary search. */
 final class WeightedSampler {
     private static final int INITIAL_CAPACITY = 16;
 
@@ -15,14 +15,14 @@
         endpoints.clear();
     }
 
-    /** Adds an endpoint with the routing weight that it has now. */
+    /** Adds an endpoint with its current routing weight; later changes of the weight have no effect. */
     void add(TrackedEndpoint endpoint) {
         int size = endpoints.size();
         if (size == cumulativeWeights.length) {
             cumulativeWeights = Arrays.copyOf(cumulativeWeights, 2 * size);
         }
-        double before = size > 0 ? cumulativeWeights[size - 1] : 0;
-        cumulativeWeights[size] = endpoint.routingWeight() + before;
+        double previousSum = size > 0 ? cumulativeWeights[size - 1] : 0;
+        cumulativeWeights[size] = endpoint.routingWeight() + previousSum;
         endpoints.add(endpoint);
     }
 
@@ -35,14 +35,14 @@
     }
 
     /**
-     * The endpoint at a point of the summed weights.
+     * Returns an endpoint, each with a probability proportional to its routing weight. The sampler must not be empty.
      *
      * @param uniform a random number in [0, 1)
      */
     TrackedEndpoint draw(double uniform) {
         int size = endpoints.size();
-        int found = Arrays.binarySearch(cumulativeWeights, 0, size, uniform * cumulativeWeights[size - 1]);
-        int index = found < 0 ? -found - 1 : found + 1;
+        int searchResult = Arrays.binarySearch(cumulativeWeights, 0, size, uniform * cumulativeWeights[size - 1]);
+        int index = searchResult < 0 ? -searchResult - 1 : searchResult + 1;
         return endpoints.get(Math.min(size - 1, index));
     }
 }
--- a/src/main/java/loadbalancer/decision/WorkEstimator.java
+++ b/src/main/java/loadbalancer/decision/WorkEstimator.java
@@ -6,15 +6,15 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * Estimates the work of each request, in microseconds of a standard core, by its cost hint or else by the response
- * times of its class; and the mean work of all requests.
+ * Estimates the work of each request, in microseconds of a standard core, from its cost hint or, without one, from the
+ * response times of its request class. Also estimates the mean work of all requests.
  */
 final class WorkEstimator {
-    /** First estimate of the work of a class: its latency objective divided by this. */
+    /** Divisor of a request class's latency objective that gives the initial estimate of its work. */
     private static final double INITIAL_OBJECTIVE_DIVISOR = 4.0;
     /** Weight of one request in the mean. */
     private static final double MEAN_GAIN = 0.01;
-    /** A request counts as at most this many times the mean work: the work of requests has a long tail. */
+    /** Upper bound of a request's work relative to the mean: the work of requests has a long-tailed distribution. */
     static final double MAX_MEAN_RATIO = 3;
 
     private final Map<String, Double> classWorkMicros = new HashMap<>();
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Adds the first estimates of classes that were not known before. */
+    /** Adds initial estimates for request classes that are not known yet. */
     void addClasses(List<RequestClass> requestClasses) {
         for (RequestClass requestClass : requestClasses) {
             classWorkMicros.putIfAbsent(
@@ -45,7 +45,7 @@
         meanWorkMicros += MEAN_GAIN * (Math.min(workMicros, MAX_MEAN_RATIO * meanWorkMicros) - meanWorkMicros);
     }
 
-    /** Raises a class's work by a relative step, or lowers it by a negative one. */
+    /** Increases a request class's work by a relative step, or decreases it if the step is negative. */
     void adjustClass(String requestClass, double relativeStep) {
         Double workMicros = classWorkMicros.get(requestClass);
         if (workMicros != null) {
--- a/src/main/java/loadbalancer/decision/ZoneShares.java
+++ b/src/main/java/loadbalancer/decision/ZoneShares.java
@@ -1,9 +1,12 @@
 package loadbalancer.decision;
 
 /**
- * Decides which part of the local requests goes to each zone. Without a price for crossing zones, the parts are
- * proportional to the zones' ready endpoints. With a price, all requests stay in the local zone except those by which
- * its sidecars together exceed its part of the fleet's rate; without gossip, all stay.
+ * Decides the share of each zone: the fraction of this sidecar's requests that it sends to the zone.
+ *
+ * <p>If crossing zones has no price, or if local requests represent the load of the endpoints well, the shares are
+ * proportional to the zones' numbers of ready endpoints. Otherwise requests leave the local zone only if the zone's
+ * sidecars together receive more than the zone's fraction of the fleet's request rate, and then only the excess does;
+ * without gossip, all requests stay in the local zone.
  */
 final class ZoneShares {
     private final PolicySettings settings;
@@ -27,7 +30,7 @@
         }
     }
 
-    /** Gives the other zones only the local zone's excess, in proportion to what each has to spare. */
+    /** Sends only the local zone's excess to the other zones, in proportion to the spare capacity of each. */
     private void preferLocalZone() {
         int localZoneIndex = settings.localZoneIndex();
         double meanRatePerSecond = gossip.livePeers() > 0 ? gossip.meanRatePerSecond() : 0;
@@ -37,25 +40,26 @@
                         1,
                         RateMath.safeDivide(
                                 shares[localZoneIndex] * meanRatePerSecond, gossip.zoneRatePerSecond(localZoneIndex)));
-        double spareSum = 0;
+        double spareShareSum = 0;
         for (int zone = 0; zone < shares.length; zone++) {
-            boolean takesNone = zone == localZoneIndex || meanRatePerSecond <= 0;
-            shares[zone] =
-                    takesNone ? 0 : Math.max(0, shares[zone] - gossip.zoneRatePerSecond(zone) / meanRatePerSecond);
-            spareSum += shares[zone];
+            boolean receivesNoExcess = zone == localZoneIndex || meanRatePerSecond <= 0;
+            shares[zone] = receivesNoExcess
+                    ? 0
+                    : Math.max(0, shares[zone] - gossip.zoneRatePerSecond(zone) / meanRatePerSecond);
+            spareShareSum += shares[zone];
         }
         for (int zone = 0; zone < shares.length; zone++) {
-            shares[zone] *= RateMath.safeDivide(1 - localShare, spareSum);
+            shares[zone] *= RateMath.safeDivide(1 - localShare, spareShareSum);
         }
         shares[localZoneIndex] = localShare;
     }
 
-    /** The part of the local requests, 0 to 1, that goes to the zone. */
-    double share(int zone) {
-        return shares[zone];
+    /** Returns the fraction of this sidecar's requests, 0 to 1, that it sends to the zone. */
+    double share(int zoneIndex) {
+        return shares[zoneIndex];
     }
 
-    /** The part of the local requests, 0 to 1, that stays in the local zone. */
+    /** Returns the fraction of this sidecar's requests, 0 to 1, that stays in the local zone. */
     double localShare() {
         return shares[settings.localZoneIndex()];
     }
