--- a/src/main/java/loadbalancer/decision/Endpoint.java
+++ b/src/main/java/loadbalancer/decision/Endpoint.java
@@ -7,9 +7,9 @@
  * @param zone availability zone, one of the zones in the settings
  * @param machineType endpoints of one machine type have about the same speed and number of cores
  * @param cell number of the endpoint's cell, the smallest deduplication scope; {@link #NO_CELL} if unknown
- * @param startedMicros time of the latest start on the module's clock; 0 if that was long ago
- * @param weight figure from the list for comparison with other endpoints, without a unit; no rule uses it
- * @param state whether the endpoint takes requests
+ * @param startedMicros time of the endpoint's latest start on the module's clock; 0 if it started long ago
+ * @param weight weight from the endpoint list, relative to other endpoints and without a unit; no rule uses it
+ * @param state whether the endpoint accepts requests
  */
 public record Endpoint(
         String id, String zone, String machineType, int cell, long startedMicros, double weight, EndpointState state) {
--- a/src/main/java/loadbalancer/decision/EndpointListType.java
+++ b/src/main/java/loadbalancer/decision/EndpointListType.java
@@ -1,13 +1,13 @@
 package loadbalancer.decision;
 
-/** How an endpoint list relates to the one before it. */
+/** How an endpoint list relates to the previous list. */
 public enum EndpointListType {
-    /** Only the entries that have changed; the others stay as they are. */
+    /** The list contains only the entries that have changed; the others stay as they are. */
     DELTA,
-    /** All endpoints; one that is missing has been removed. */
+    /** The list contains all endpoints; an endpoint that is missing has been removed. */
     FULL,
-    /** Discovery could not be reached: the list is empty and the previous one remains in force. */
+    /** Discovery could not be reached: the list is empty, and the previous list remains in effect. */
     FAILED,
-    /** All endpoints as last known before the start of this sidecar; it may be out of date. */
+    /** The list contains all endpoints as last known before the start of this sidecar and may be out of date. */
     CACHED
 }
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -10,7 +10,8 @@
 import java.util.Set;
 
 /**
- * The endpoints of all lists so far and their machine types. A removed one is kept until its last attempt has ended.
+ * The endpoints of all endpoint lists so far, and their machine types. A removed endpoint is kept until its last
+ * attempt has ended.
  */
 final class EndpointRegistry {
     private final PolicySettings settings;
@@ -24,7 +25,7 @@
         this.idleConnections = idleConnections;
     }
 
-    /** Adds the settings' machine types and updates zone indexes. Estimates are kept. */
+    /** Adds the machine types of new settings and updates the zone indexes. Keeps all estimates. */
     void onSettings() {
         for (String name : settings.current().machineTypes()) {
             machineTypeOrNew(name);
@@ -34,11 +35,11 @@
         }
     }
 
-    /** Applies a list. Endpoints that a full or cached list does not name are removed. */
+    /** Applies an endpoint list. Marks endpoints that a full or cached list does not contain as removed. */
     void onEndpointList(EndpointListType type, List<Endpoint> listEntries) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Endpoint listEntry : listEntries) {
-            named.add(listEntry.id());
+            listedIds.add(listEntry.id());
             TrackedEndpoint endpoint = endpoints.get(listEntry.id());
             if (endpoint == null) {
                 endpoint = new TrackedEndpoint(listEntry, machineTypeOrNew(listEntry.machineType()));
@@ -49,7 +50,7 @@
         }
         if (type != EndpointListType.DELTA) {
             for (TrackedEndpoint endpoint : endpoints.values()) {
-                if (!named.contains(endpoint.id())) {
+                if (!listedIds.contains(endpoint.id())) {
                     endpoint.markRemoved();
                     idleConnections.closeIfDraining(endpoint);
                 }
@@ -67,7 +68,7 @@
         return machineType;
     }
 
-    /** Collects the ready endpoints; where a subset is used, in the order that all sidecars share. */
+    /** Collects the ready endpoints. If a subset is used, sorts them in the order that is the same on all sidecars. */
     void updateReady() {
         ready.clear();
         for (TrackedEndpoint endpoint : endpoints.values()) {
@@ -80,29 +81,29 @@
         }
     }
 
-    /** Forgets the endpoint if it is removed and has no attempt in flight. */
+    /** Discards the endpoint if it is removed and has no attempt in flight. */
     void discardIfUnused(TrackedEndpoint endpoint) {
         if (endpoint.isDiscardable()) {
             endpoints.remove(endpoint.id(), endpoint);
         }
     }
 
-    /** The endpoint of this id, or null. */
+    /** Returns the endpoint with this id, or null if there is none. */
     TrackedEndpoint find(String id) {
         return endpoints.get(id);
     }
 
-    /** Number of endpoints, including removed ones with attempts in flight. */
+    /** Returns the number of endpoints, including removed ones with attempts in flight. */
     int size() {
         return endpoints.size();
     }
 
-    /** The ready endpoints: a view that changes with {@link #updateReady}. */
+    /** Returns the ready endpoints: a view that changes with {@link #updateReady}. */
     List<TrackedEndpoint> ready() {
         return ready;
     }
 
-    /** The machine type of this name, or null. */
+    /** Returns the estimates for the machine type with this name, or null if there are none. */
     MachineTypeEstimate machineType(String name) {
         return machineTypes.get(name);
     }
@@ -111,7 +112,7 @@
         return machineTypes.values();
     }
 
-    /** Names and estimates of the machine types. */
+    /** Returns the names and estimates of the machine types. */
     Set<Map.Entry<String, MachineTypeEstimate>> machineTypeEntries() {
         return machineTypes.entrySet();
     }
--- a/src/main/java/loadbalancer/decision/EndpointState.java
+++ b/src/main/java/loadbalancer/decision/EndpointState.java
@@ -1,11 +1,11 @@
 package loadbalancer.decision;
 
-/** Whether an endpoint takes requests, according to the endpoint list. */
+/** Whether an endpoint accepts requests, according to the endpoint list. */
 public enum EndpointState {
-    /** No longer listed: it takes no new requests, and those that it holds may be lost. */
+    /** The endpoint is no longer listed: it accepts no new requests, and the requests that it holds may be lost. */
     REMOVED,
-    /** It takes requests. */
+    /** The endpoint accepts requests. */
     READY,
-    /** It finishes the requests that it holds and takes no new ones. */
+    /** The endpoint finishes the requests that it holds and accepts no new ones. */
     DRAINING
 }
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -5,14 +5,15 @@
 
 /**
  * The decision module of one sidecar. The host reports events by calling these methods; during such a call the module
- * makes its decisions known by calling {@link LoadBalancerActions}. Not thread-safe: all calls come from one thread.
+ * carries out its decisions by calling {@link LoadBalancerActions}. Not thread-safe: all calls must come from one
+ * thread.
  *
- * <p>Times are microseconds of one clock that only moves forward. The module has no other source of time, so that the
- * same events and the same seed give the same decisions.
+ * <p>Times are in microseconds of one monotonic clock. The module has no other source of time, so that the same events
+ * and the same seed give the same decisions.
  */
 public interface LoadBalancer {
     /**
-     * Replaces the settings; the host has checked the new ones. Requests in progress keep their request class.
+     * Replaces the settings, which the host has validated. Requests in progress keep their request class.
      * {@link LoadBalancerSettings#polledDiscovery} must be the same as before.
      */
     void onSettings(long nowMicros, LoadBalancerSettings settings);
@@ -21,29 +22,32 @@
     void onEndpointList(long nowMicros, EndpointListType type, List<Endpoint> endpoints);
 
     /**
-     * Takes a request. Unless it expires, it gets exactly one final response: a forwarded one, a rejection or a
-     * failure.
+     * Reports a new request. Unless the request expires, it gets exactly one final response: a forwarded response, a
+     * rejection or a failure.
      *
-     * @throws IllegalArgumentException if the settings have no such request class
+     * @throws IllegalArgumentException if the settings do not contain the request's class
      */
     void onRequest(long nowMicros, Request request);
 
     /** Reports how an attempt ended. */
     void onAttemptOutcome(long nowMicros, AttemptResult result);
 
-    /** The first part of a streamed response was forwarded to the client: no further attempt may be sent. */
+    /** Reports that the start of a streamed response was forwarded to the client: no further attempt may be sent. */
     void onStreamStart(long nowMicros, String requestId, int attemptNumber, String endpointId, long latencyMicros);
 
-    /** Reports the outcome of a health check; {@code loadReport} is null where the endpoint reported no load. */
+    /** Reports the outcome of a health check; {@code loadReport} is null if the endpoint reported no load. */
     void onHealthCheck(
             long nowMicros, String endpointId, AttemptOutcome outcome, long latencyMicros, LoadReport loadReport);
 
-    /** The client has left or its deadline has passed: the request needs no final response any more. */
+    /**
+     * Reports that the client has disconnected or the request's deadline has passed: the request no longer needs a
+     * final response.
+     */
     void onRequestExpired(long nowMicros, String requestId);
 
-    /** Takes a gossip message from another sidecar; a malformed one is ignored. */
+    /** Handles a gossip message from another sidecar; ignores a malformed one. */
     void onGossip(long nowMicros, int sidecarIndex, byte[] message);
 
-    /** A timer started by {@link LoadBalancerActions#startTimer} is due. */
+    /** Reports that a timer started by {@link LoadBalancerActions#startTimer} has expired. */
     void onTimer(long nowMicros, String timerName);
 }
--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -61,7 +61,8 @@
     }
 
     /**
-     * Returns additional load for a late response, in requests, because local attempts are the first sign of a stall.
+     * Returns the additional load, in requests, that is assumed while a response is late. A late local attempt is the
+     * first sign that the endpoint is stalled.
      */
     private static double stallLoad(TrackedEndpoint endpoint, long nowMicros) {
         Attempt oldest = endpoint.attempts.oldestNotOvertaken();
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -20,7 +20,8 @@
     /** The weight of a response decreases with the number of responses, down to this fraction of the gain. */
     private static final double MIN_GAIN_RATIO = 0.25;
     /**
-     * Upper bound of observed relative to expected response time: the work of requests has a long-tailed distribution.
+     * Upper bound of the ratio of observed to expected response time. It limits the effect of single responses, because
+     * the work of requests has a long-tailed distribution.
      */
     private static final double MAX_OBSERVED_RATIO = 3;
     /** Weight of one load report in the number of cores. */
--- a/src/main/java/loadbalancer/decision/PolicySettings.java
+++ b/src/main/java/loadbalancer/decision/PolicySettings.java
@@ -10,15 +10,15 @@
 import loadbalancer.settings.Tenant;
 import loadbalancer.settings.UsagePrices;
 
-/** The current settings and values derived from them, which are computed once per change by {@link #apply}. */
+/** The current settings, and values derived from them by {@link #apply} once per change of the settings. */
 final class PolicySettings {
-    /** Sidecars that share one endpoint where connections have a price: enough for an even total load. */
+    /** Number of sidecars that use each endpoint if connections have a price: enough to balance the total load. */
     static final int SIDECARS_PER_ENDPOINT = 10;
-    /** Load is sampled only if two health checks per request cost no more than this part of the total value. */
+    /** Maximum price of two health checks per request at which load is sampled, as a fraction of the total value. */
     private static final double MAX_SAMPLING_PRICE = 0.005;
-    /** Crossing zones is avoided if it costs at least this part of the total value. */
-    private static final double LEAST_CROSS_ZONE_PRICE = 0.02;
-    /** First estimate of an endpoint's cores where there are no load reports; response times correct it. */
+    /** Minimum price of crossing zones at which the local zone is preferred, as a fraction of the total value. */
+    private static final double MIN_CROSS_ZONE_PRICE = 0.02;
+    /** Initial estimate of an endpoint's cores if there are no load reports; response times correct it. */
     private static final double INITIAL_CORES = 2;
 
     private LoadBalancerSettings current;
@@ -83,17 +83,20 @@
         return current.sidecarIndex();
     }
 
-    /** The request class of this name, or null. */
+    /** Returns the request class with this name, or null if there is none. */
     RequestClass requestClass(String name) {
         return requestClasses.get(name);
     }
 
-    /** The class's priority weight relative to the highest one. */
+    /** Returns the class's priority weight relative to the highest priority weight. */
     double relativePriority(RequestClass requestClass) {
         return requestClass.priorityWeight() / highestPriorityWeight;
     }
 
-    /** The shortest latency objective of the classes of the highest priority. */
+    /**
+     * Returns the shortest latency objective of the classes with the highest priority weight; 0 without request
+     * classes.
+     */
     long highestPriorityObjectiveMicros() {
         return highestPriorityObjectiveMicros;
     }
@@ -102,12 +105,12 @@
         return longestDeadlineMicros;
     }
 
-    /** Sum of all tenants' quotas, in requests a second; 0 without tenants. */
+    /** Returns the sum of all tenants' quotas, in requests per second; 0 if there are no tenants. */
     double quotaSumPerSecond() {
         return quotaSumPerSecond;
     }
 
-    /** The index of a zone in the settings; 0 if they do not list it. */
+    /** Returns the index of a zone in the settings, or 0 if the settings do not list it. */
     int zoneIndex(String zone) {
         return Math.max(0, current.zones().indexOf(zone));
     }
@@ -124,37 +127,45 @@
         return current.loadReporting() != LoadReporting.NONE;
     }
 
-    /** First estimate of an endpoint's cores: 1 where load reports will raise it, else a guess. */
+    /** Returns the initial estimate of an endpoint's cores: 1 if load reports can increase it, otherwise a default. */
     double initialCores() {
         return hasLoadReports() ? 1 : INITIAL_CORES;
     }
 
-    /** Whether both drawn endpoints are asked for a load report before a request is sent: the paper's sampled load. */
+    /**
+     * Returns whether load is sampled as in the HALO paper: both drawn endpoints are asked for a load report before a
+     * request is sent.
+     */
     boolean samplesLoad() {
         return samplesLoad;
     }
 
     /**
-     * Whether hedged requests are allowed and health checks can distinguish an unresponsive endpoint from a busy one.
+     * Returns whether requests are hedged: hedging must be allowed, and load must be sampled so that health checks
+     * distinguish an unresponsive endpoint from a busy one.
      */
     boolean hedgesRequests() {
         return samplesLoad && limits().hedging();
     }
 
-    /** Whether the sidecar keeps to a subset of the endpoints: connections and handshakes have a price. */
+    /**
+     * Returns whether the sidecar uses only a subset of the endpoints, which it does if connections and handshakes have
+     * a price.
+     */
     boolean usesSubset() {
         return prices().connection() > 0 && prices().handshake() > 0;
     }
 
     /**
-     * Whether so many sidecars share an endpoint, without sampled load, that local requests say little about its load.
+     * Returns whether local requests say little about an endpoint's load. This is the case if load is not sampled and
+     * the fleet has more than {@link #SIDECARS_PER_ENDPOINT} sidecars, since that many may share an endpoint.
      */
     boolean localLoadIsUnrepresentative() {
         return !samplesLoad && sidecarCount() > SIDECARS_PER_ENDPOINT;
     }
 
     boolean prefersLocalZone() {
-        return prices().crossZone() >= LEAST_CROSS_ZONE_PRICE;
+        return prices().crossZone() >= MIN_CROSS_ZONE_PRICE;
     }
 
     boolean sendsGossip() {
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -11,7 +11,8 @@
     /** Weight of one response in the estimates of cores and work; lower because a response says less about them. */
     private static final double SLOW_GAIN = SPEED_GAIN / 4;
     /**
-     * Upper bound of observed relative to expected response time: the work of requests has a long-tailed distribution.
+     * Upper bound of the ratio of observed to expected response time. It limits the effect of single responses, because
+     * the work of requests has a long-tailed distribution.
      */
     private static final double MAX_OBSERVED_RATIO = 3;
     /**
@@ -119,7 +120,10 @@
         return latencyMicros / Math.max(1, attempt.forecast().unitSpeedResponseMicros());
     }
 
-    /** Returns the observed minus the estimated speed factor, relative to the estimate; bounded above. */
+    /**
+     * Returns the difference between the observed and the estimated speed factor, relative to the estimate. It is
+     * positive if the endpoint is slower than estimated, and bounded above.
+     */
     private static double relativeError(TrackedEndpoint endpoint, double observedFactor) {
         return Math.min(MAX_OBSERVED_RATIO, observedFactor / endpoint.speedFactor()) - 1;
     }
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision;
 
 /**
- * One endpoint: its entry in the endpoint list, its routing weight, and the state that each rule keeps for it. The
- * state of a rule is written only by the class that declares its type.
+ * One endpoint: its entry in the endpoint list, its routing weight, and the state that other classes keep for it. Only
+ * the class that declares a state type writes that state.
  */
 final class TrackedEndpoint {
     private final String id;
@@ -29,7 +29,10 @@
         sharedOrder = StableHash.mix(id.hashCode(), 0);
     }
 
-    /** Replaces the list entry. If the process has restarted, the estimates of the old one are reset. */
+    /**
+     * Replaces the list entry. If the endpoint has restarted, resets the deviation, health and connection state of the
+     * previous process.
+     */
     void update(Endpoint newListEntry, int zoneIndex) {
         if (newListEntry.startedMicros() != listEntry.startedMicros()) {
             deviation.reset();
@@ -47,12 +50,12 @@
         removed = true;
     }
 
-    /** Sets the zone's index under new settings. */
+    /** Sets the index of the endpoint's zone in new settings. */
     void setZoneIndex(int zoneIndex) {
         this.zoneIndex = zoneIndex;
     }
 
-    /** Called by {@link RoutingTable} alone. */
+    /** Sets the routing weight. Called only by {@link RoutingTable}. */
     void setRoutingWeight(double weight) {
         routingWeight = weight;
     }
@@ -65,17 +68,17 @@
         return machineType;
     }
 
-    /** The endpoint's entry in the endpoint list. */
+    /** Returns the endpoint's latest entry in the endpoint list. */
     Endpoint listEntry() {
         return listEntry;
     }
 
-    /** Sort key, computed from the id, of an order that all sidecars share. */
+    /** Returns a sort key computed from the id; it gives the same order on all sidecars. */
     int sharedOrder() {
         return sharedOrder;
     }
 
-    /** The index of its zone in the settings; 0 where they do not name it. */
+    /** Returns the index of the endpoint's zone in the settings, or 0 if the settings do not list it. */
     int zoneIndex() {
         return zoneIndex;
     }
@@ -84,29 +87,33 @@
         return ready;
     }
 
-    /** Whether it is no longer listed and kept only for its attempts in flight. */
+    /** Returns whether the endpoint is no longer listed and is kept only for its attempts in flight. */
     boolean isRemoved() {
         return removed;
     }
 
     /**
-     * Whether it is removed and has no attempt in flight. Its replacement has another id, so keeping it is of no use.
+     * Returns whether the endpoint is removed and has no attempt in flight. It can then be discarded, because its
+     * replacement has another id.
      */
     boolean isDiscardable() {
         return removed && attempts.isEmpty();
     }
 
-    /** Its probability in a draw, relative to the others: {@code p_i / k_i} of Eq. (4). */
+    /** Returns the endpoint's probability in a draw relative to the other endpoints: {@code p_i / k_i} of Eq. (4). */
     double routingWeight() {
         return routingWeight;
     }
 
-    /** Time for work that takes a standard core one unit: the machine type's, times the endpoint's deviation. */
+    /**
+     * Returns the service time relative to a standard core: the speed factor of the machine type, multiplied by the
+     * endpoint's deviation.
+     */
     double speedFactor() {
         return machineType.speedFactor() * deviation.ratio();
     }
 
-    /** Attempts of this sidecar that are in flight here. */
+    /** Returns the number of this sidecar's attempts in flight to the endpoint. */
     int localInFlight() {
         return attempts.size();
     }
--- a/src/main/java/loadbalancer/decision/WorkEstimator.java
+++ b/src/main/java/loadbalancer/decision/WorkEstimator.java
@@ -14,7 +14,7 @@
     private static final double INITIAL_OBJECTIVE_DIVISOR = 4.0;
     /** Weight of one request in the mean. */
     private static final double MEAN_GAIN = 0.01;
-    /** Upper bound of a request's work relative to the mean: the work of requests has a long-tailed distribution. */
+    /** Upper bound of a request's work relative to the mean, because the work has a long-tailed distribution. */
     static final double MAX_MEAN_RATIO = 3;
 
     private final Map<String, Double> classWorkMicros = new HashMap<>();
--- a/src/main/java/loadbalancer/decision/package-info.java
+++ b/src/main/java/loadbalancer/decision/package-info.java
@@ -1,17 +1,18 @@
 /**
- * The decisions of one sidecar: which endpoint a request is sent to, when it waits, is retried, hedged, rejected or
- * failed, and the estimates behind these decisions. Owns all their state. It uses no clock, thread, socket or file, and
- * the only other package it depends on is {@code settings}, so that the same events and seed give the same decisions.
+ * The decisions of one sidecar: which endpoint a request is sent to, and when a request is queued, retried, hedged,
+ * rejected or failed. The package contains these decisions, the estimates that they are based on, and all their state.
+ * It uses no clock, thread, socket or file and depends on no other package than {@code settings}, so that the same
+ * events and the same seed give the same decisions.
  *
  * <p>{@link loadbalancer.decision.LoadBalancer} is the interface for events,
- * {@link loadbalancer.decision.LoadBalancerActions} the one for actions.
- * {@link loadbalancer.decision.LoadBalancingPolicy} hands each event to the part that decides on it; the parts are
- * wired in {@code Estimators}, {@code EndpointRouting} and {@code RequestHandling}.
+ * {@link loadbalancer.decision.LoadBalancerActions} the interface for actions.
+ * {@link loadbalancer.decision.LoadBalancingPolicy} passes each event to the classes that decide on it; these classes
+ * are created and connected in {@code Estimators}, {@code EndpointRouting} and {@code RequestHandling}.
  *
- * <p>The state that a rule keeps for each endpoint is a class nested in the rule's class, so that no other class can
- * write it. The remaining fields of an endpoint or a request have setters that name the one class that calls them.
+ * <p>If a class keeps state for each endpoint, the state is a class nested in it, so that no other class can write it.
+ * The remaining fields of an endpoint or a request have setters whose comments name the only class that calls them.
  *
- * <p>Names in {@code Micros} are microseconds, names in {@code Ratio} or {@code Gain} are parts of a whole without a
- * unit, and names in {@code PerSecond} or {@code Rate} are requests a second.
+ * <p>Names ending in {@code Micros} are times in microseconds, names ending in {@code Ratio} or {@code Gain} are
+ * dimensionless, and names ending in {@code PerSecond} or {@code Rate} are in requests per second.
  */
 package loadbalancer.decision;
--- a/src/test/java/loadbalancer/decision/EndpointRegistryTest.java
+++ b/src/test/java/loadbalancer/decision/EndpointRegistryTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Endpoints follow the endpoint lists: added, draining, removed and forgotten. */
+/** Endpoints are added, drained, removed and discarded according to the endpoint lists. */
 class EndpointRegistryTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void drainingAndRemovedEndpointsGetNothing() {
+    void sendsNothingToDrainingAndRemovedEndpoints() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
         fixture.endpointList(EndpointListType.DELTA, new Endpoint("a", "za", "k", 1, 0, 1, EndpointState.DRAINING));
         fixture.request("r1").request("r2");
@@ -21,9 +21,9 @@
         assertEquals("a", fixture.endpointOf("r3", 0));
     }
 
-    /** Replacements have new ids: remembered for ever, removed endpoints would fill the memory. */
+    /** Replacements have new ids, so removed endpoints that are never discarded would fill the memory. */
     @Test
-    void removedEndpointIsForgottenAfterItsLastAttempt() {
+    void discardsRemovedEndpointAfterItsLastAttempt() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A);
         fixture.request("r");
         for (int i = 0; i < 50; i++) {
--- a/src/test/java/loadbalancer/decision/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/decision/EndpointSubsetTest.java
@@ -12,17 +12,17 @@
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Where connections cost, a sidecar uses a small subset of the endpoints. */
+/** If connections have a price, a sidecar uses a small subset of the endpoints. */
 class EndpointSubsetTest {
     @Test
-    void subsetsAreSmallAndSpreadEvenlyOverEachMachineType() {
+    void selectsSmallSubsetsSpreadEvenlyOverEachMachineType() {
         int sidecarCount = 400;
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             String machineType = i % 3 == 0 ? "slow" : "fast";
             endpoints.add(new Endpoint("u" + i * 7919, "za", machineType, i / 3, 0, 1, EndpointState.READY));
         }
-        Map<String, Integer> users = new HashMap<>();
+        Map<String, Integer> sidecarsByEndpoint = new HashMap<>();
         for (int i = 0; i < sidecarCount; i++) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.sidecarIndex = i;
@@ -30,16 +30,17 @@
             fixture.connectionPrice = 0.05;
             fixture.loadReporting = LoadReporting.NONE;
             fixture.start().listed(endpoints.toArray(new Endpoint[0]));
-            Set<String> used = new HashSet<>();
+            Set<String> usedEndpoints = new HashSet<>();
             for (int j = 0; j < 40; j++) {
                 fixture.advance(200_000).request("r" + j);
-                used.add(fixture.endpointOf("r" + j, 0));
+                usedEndpoints.add(fixture.endpointOf("r" + j, 0));
                 fixture.outcome("r" + j, 0, fixture.endpointOf("r" + j, 0), AttemptOutcome.OK, 75_000);
             }
-            assertTrue(used.size() <= 6, "" + used);
-            used.forEach(endpoint -> users.merge(endpoint, 1, Integer::sum));
+            assertTrue(usedEndpoints.size() <= 6, "used endpoints: " + usedEndpoints);
+            usedEndpoints.forEach(endpoint -> sidecarsByEndpoint.merge(endpoint, 1, Integer::sum));
         }
-        assertEquals(60, users.size());
-        users.forEach((endpoint, count) -> assertTrue(count >= 5 && count <= 50, endpoint + " has " + count));
+        assertEquals(60, sidecarsByEndpoint.size());
+        sidecarsByEndpoint.forEach((endpoint, count) ->
+                assertTrue(count >= 5 && count <= 50, endpoint + " is used by sidecars: " + count));
     }
 }
--- a/src/test/java/loadbalancer/decision/MachineTypeEstimateTest.java
+++ b/src/test/java/loadbalancer/decision/MachineTypeEstimateTest.java
@@ -6,7 +6,10 @@
 
 /** The number of cores of a machine type is learned from gossip. */
 class MachineTypeEstimateTest {
-    /** Cores show only in queues, which a sidecar of little traffic hardly observes: it learns from the others. */
+    /**
+     * The number of cores can be observed only while requests are queued. A sidecar with little traffic rarely sees
+     * queued requests and must learn the number from other sidecars.
+     */
     @Test
     void learnsCoresFromGossipOfSidecarsThatObserveQueues() {
         PolicyFixture fixture = PolicyFixture.oneOfFourteen();
@@ -14,8 +17,8 @@
             fixture.gossipOfMachineType(sender, 1, 4, 40);
         }
         double cores = fixture.coresOfMachineType();
-        assertTrue(cores > 3 && cores <= 4, "cores " + cores);
+        assertTrue(cores > 3 && cores <= 4, "estimated cores: " + cores);
         fixture.gossipOfMachineType(1, 1, 255, 40);
-        assertTrue(fixture.coresOfMachineType() < 3 * cores, "one false message changes little");
+        assertTrue(fixture.coresOfMachineType() < 3 * cores, "one wrong gossip message must have little effect");
     }
 }
--- a/src/test/java/loadbalancer/decision/PowerOfTwoSelectorTest.java
+++ b/src/test/java/loadbalancer/decision/PowerOfTwoSelectorTest.java
@@ -7,21 +7,21 @@
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Two endpoints are drawn by routing weight; the less loaded is selected. */
+/** Two endpoints are drawn by routing weight, and the less loaded one is selected. */
 class PowerOfTwoSelectorTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void selectsTheLessLoadedOfTwo() {
+    void selectsLessLoadedOfTwo() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
         fixture.request("r1").request("r2");
         assertNotEquals(fixture.endpointOf("r1", 0), fixture.endpointOf("r2", 0));
     }
 
     @Test
-    void drawsFollowTheRoutingWeights() {
-        // Equal endpoints, all idle: each is drawn alike.
+    void drawsEndpointsByRoutingWeight() {
+        // All endpoints are equal and idle, so each is drawn with the same probability.
         PolicyFixture fixture = new PolicyFixture()
                 .start()
                 .listed(A, B, PolicyFixture.endpoint("c", "zc", 3), PolicyFixture.endpoint("d", "zc", 4));
@@ -34,29 +34,29 @@
             fixture.clearActions();
         }
         for (int count : counts) {
-            assertTrue(count > 800 && count < 1200, "" + count);
+            assertTrue(count > 800 && count < 1200, "requests sent to one endpoint: " + count);
         }
     }
 
     @Test
-    void tiesFollowUnequalRoutingWeights() {
+    void breaksTiesByRoutingWeight() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B).request("first");
         fixture.outcome("first", 0, fixture.endpointOf("first", 0), AttemptOutcome.OK, 75_000);
         fixture.setRoutingWeight("a", 0.75);
         fixture.setRoutingWeight("b", 0.25);
-        int toA = 0;
+        int sentToA = 0;
         for (int i = 0; i < 4000; i++) {
             fixture.clearActions();
             fixture.request("r" + i);
             String endpoint = fixture.endpointOf("r" + i, 0);
-            toA += endpoint.equals("a") ? 1 : 0;
+            sentToA += endpoint.equals("a") ? 1 : 0;
             fixture.outcome("r" + i, 0, endpoint, AttemptOutcome.OK, 75_000);
         }
-        assertTrue(toA > 2900 && toA < 3100, "" + toA);
+        assertTrue(sentToA > 2900 && sentToA < 3100, "requests sent to a: " + sentToA);
     }
 
     @Test
-    void endpointThatReportsFullLoadLeavesTheDraw() {
+    void skipsEndpointThatReportsFullLoad() {
         PolicyFixture fixture = new PolicyFixture().start().listed(A, B).request("r");
         String endpoint = fixture.endpointOf("r", 0);
         fixture.outcome(new AttemptResult("r", 0, endpoint, AttemptOutcome.OK, 50_000, true, new LoadReport(9, 8, 1)));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void prefersAShortQueueInTheLocalZoneIfCrossingZonesCosts() {
+    void prefersShortQueueInLocalZoneIfCrossingZonesHasPrice() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.crossZonePrice = 0.08;
         fixture.loadReporting = LoadReporting.NONE;
--- a/src/test/java/loadbalancer/decision/SampledLoadSelectorTest.java
+++ b/src/test/java/loadbalancer/decision/SampledLoadSelectorTest.java
@@ -13,7 +13,7 @@
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
     @Test
-    void checksBothDrawnEndpointsAndSelectsTheLessLoaded() {
+    void checksBothDrawnEndpointsAndSelectsLessLoaded() {
         PolicyFixture fixture = withHealthChecks().request("r");
         assertEquals(2, fixture.healthChecks().size());
         assertNull(fixture.endpointOf("r", 0));
@@ -23,9 +23,9 @@
         assertEquals("b", fixture.endpointOf("r", 0));
     }
 
-    /** A stalled endpoint shows in a health check before any request is lost on it. */
+    /** A health check detects a stalled endpoint before a request is sent to it and lost. */
     @Test
-    void endpointWithoutReplyByTheNextSweepIsNotSelected() {
+    void skipsEndpointWithoutReplyByNextSweep() {
         PolicyFixture fixture = withHealthChecks().request("r").advance(1_000);
         fixture.healthCheckReply("a", new LoadReport(0, 0, 0));
         assertNull(fixture.endpointOf("r", 0));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void replyWithoutLoadReportCountsAsBusy() {
+    void treatsReplyWithoutLoadReportAsBusy() {
         PolicyFixture fixture = withHealthChecks().request("r").advance(1_000);
         fixture.healthCheckReply("a", null);
         fixture.healthCheckReply("b", new LoadReport(1, 0, 1));
@@ -47,9 +47,11 @@
         assertEquals("b", fixture.endpointOf("r", 0));
     }
 
-    /** The only sidecar knows the load of its endpoints: health checks would cost time and have a price. */
+    /**
+     * A sidecar that is alone knows the load of its endpoints, so a health check would only add latency and its price.
+     */
     @Test
-    void skipsHealthChecksIfOtherSidecarsHardlyChangeTheLoad() {
+    void skipsHealthChecksIfNoOtherSidecarChangesLoad() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.healthChecks = true;
         fixture.sidecarCount = 1;
@@ -63,12 +65,12 @@
         assertEquals(first.equals("a") ? "b" : "a", fixture.endpointOf("s", 0));
     }
 
-    /** If the sidecar itself is slow, no reply comes in time: its requests must not wait for one in vain. */
+    /** If the sidecar itself is slow, no reply arrives in time, and its requests must not keep waiting for one. */
     @Test
-    void selectsByLocalInFlightWithoutAnyReply() {
+    void selectsByLocalInFlightIfNoReplyArrives() {
         PolicyFixture fixture = withHealthChecks().request("r").advance(5_000).fire(SWEEP_TIMER);
         String first = fixture.endpointOf("r", 0);
-        assertNotNull(first, "it waits for a reply that does not come");
+        assertNotNull(first, "request r still waits for a health check reply");
         fixture.request("s").advance(5_000).fire(SWEEP_TIMER);
         assertEquals(first.equals("a") ? "b" : "a", fixture.endpointOf("s", 0));
     }
--- a/src/test/java/loadbalancer/decision/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/decision/SettingsReloadTest.java
@@ -8,14 +8,14 @@
 import loadbalancer.settings.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** A configuration reload applies to new requests. */
+/** A configuration reload applies to new requests only. */
 class SettingsReloadTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
 
-    /** A request in progress keeps its request class; new ones get the class of the new settings. */
+    /** A request in progress keeps its request class; new requests get the request class of the new settings. */
     @Test
-    void newSettingsApplyToNewRequestsOnly() {
+    void appliesNewSettingsToNewRequestsOnly() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
         fixture.start().listed(A, B).request("old");
@@ -24,12 +24,15 @@
         idempotentFixture.sidecarCount = 30;
         fixture.applySettings(idempotentFixture.start().settings());
         fixture.advance(10_000).outcome("old", 0, fixture.endpointOf("old", 0), AttemptOutcome.RESET, 10_000);
-        assertEquals(List.of("old"), fixture.failedRequests(), "it may have run, and its class may not be repeated");
+        assertEquals(
+                List.of("old"),
+                fixture.failedRequests(),
+                "request old may have run and its class is not idempotent, so it must fail");
         fixture.request("new");
         for (int i = 0; i < 2; i++) {
             fixture.advance(10_000).outcome("new", i, fixture.endpointOf("new", i), AttemptOutcome.RESET, 10_000);
         }
-        assertEquals(2, fixture.attemptCount("new"), "idempotent now, with two attempts");
+        assertEquals(2, fixture.attemptCount("new"), "the new class is idempotent and allows two attempts");
         assertEquals(1, fixture.failureCount("new"));
         fixture.gossipReceived(29, 3, 0);
         fixture.advance(1_000_000).fire(GOSSIP_TIMER);
--- a/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
@@ -12,15 +12,15 @@
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints in slow start get requests, and all sidecars together keep to their reduced capacity. */
+/** Endpoints in slow start get requests, and all sidecars together stay within the reduced capacity. */
 class SlowStartBudgetTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
-    /** Endpoint a, whose process has started at the moment at which every fixture starts. */
+    /** Endpoint a, started at the time at which the clock of every fixture starts. */
     private static final Endpoint JUST_STARTED =
             new Endpoint("a", "za", "k", 1, new PolicyFixture().nowMicros, 1, EndpointState.READY);
 
-    /** The sidecars of one fleet, each with its own index and seed and with the same endpoints listed. */
+    /** Returns the sidecars of one fleet, each with its own index and seed and with the same endpoints listed. */
     private static List<PolicyFixture> fleet(
             int sidecarCount, Consumer<PolicyFixture> furtherSettings, Endpoint... endpoints) {
         List<PolicyFixture> fixtures = new ArrayList<>();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void sidecarKeepsToItsPartOfTheBudget() {
+    void staysWithinBudgetOfOneSidecar() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.latencyObjectiveMicros = 40_000;
         fixture.start();
@@ -50,17 +50,17 @@
                 fixture.advance(1_000).outcome("r" + i, 0, "a", AttemptOutcome.OK, 10_000);
             }
         }
-        // 10 ms each; the budget is 3 x at most 0.17 of the capacity (two cores at first) in 1.1 s, and half
-        // of it is this sidecar's.
-        assertTrue(sent >= 1 && sent * 10_000 <= 3 * 0.17 * 2 * 1_100_000 / 2, "sent " + sent);
+        // Each request takes 10 ms. In 1.1 s the budget is 3 times the capacity, which is at most 0.17 of two
+        // cores (the initial estimate); this sidecar gets half of the budget.
+        assertTrue(sent >= 1 && sent * 10_000 <= 3 * 0.17 * 2 * 1_100_000 / 2, "requests sent: " + sent);
     }
 
     /**
-     * Hundreds of sidecars are notified at the same instant, receive no gossip, and all have traffic. Together they
-     * keep to the budget of any window, and the endpoint is used.
+     * Hundreds of sidecars with traffic learn of the endpoint at the same time and receive no gossip. Together they
+     * must use the endpoint and stay within the budget in every window.
      */
     @Test
-    void manySidecarsTogetherKeepToTheBudget() {
+    void keepsManySidecarsWithinBudget() {
         int sidecarCount = 600;
         List<PolicyFixture> fixtures = fleet(sidecarCount, fixture -> {}, JUST_STARTED);
         List<Long> sends = new ArrayList<>();
@@ -76,14 +76,15 @@
                 fixture.fire(SWEEP_TIMER);
             }
         }
-        assertSentWithinTheBudget(1_000_000_000L, sends);
+        assertSentWithinBudget(1_000_000_000L, sends);
     }
 
     /**
-     * With health checks more sidecars have a turn: all wait for room at once, and only load reports hold them back.
+     * With health checks, more sidecars may send in each slot: all of them wait for a free core at the same time, and
+     * only load reports delay them.
      */
     @Test
-    void manySidecarsWithHealthChecksKeepToTheBudget() {
+    void keepsManySidecarsWithHealthChecksWithinBudget() {
         int sidecarCount = 500;
         List<PolicyFixture> fixtures = fleet(sidecarCount, fixture -> fixture.healthChecks = true, JUST_STARTED);
         List<Long> sends = new ArrayList<>();
@@ -110,19 +111,19 @@
                 }
             }
         }
-        assertSentWithinTheBudget(1_000_000_000L, sends);
+        assertSentWithinBudget(1_000_000_000L, sends);
     }
 
     /**
-     * Many sidecars of unequal traffic, half of the endpoints in slow start, as after a release: these must take their
-     * part of the traffic, or the others are overloaded.
+     * Many sidecars have unequal traffic, and half of the endpoints are in slow start, as after a release. These must
+     * receive their fraction of the traffic, or the other endpoints are overloaded.
      */
     @Test
-    void largeFleetUsesSlowStartCapacityWithinTheBudget() {
+    void usesSlowStartCapacityWithinBudgetInLargeFleet() {
         int sidecarCount = 100;
         Endpoint[] endpoints = new Endpoint[40];
         for (int i = 0; i < endpoints.length; i++) {
-            // Two cores at 0.1 s each: 20 requests a second, and 3 of them at the start of slow start.
+            // Two cores at 0.1 s per request serve 20 requests per second, and about 3 at the beginning of slow start.
             endpoints[i] = new Endpoint("s" + i, "za", "k", 1, i < 20 ? 0 : 1_000_000_000L, 1, EndpointState.READY);
         }
         List<PolicyFixture> fixtures =
@@ -138,7 +139,8 @@
                         fixture.gossipReceived(sender, offset == 0 ? 40 : 3, 0);
                     }
                 }
-                // 40 a second at the first sidecar, 3 at each other: 337, of about 460 that the endpoints can serve.
+                // Requests per second: 40 at the first sidecar and 3 at each other one, together 337; the endpoints can
+                // serve about 460.
                 if (i == 0 ? step % 5 < 2 : (step + i) % 33 == 0) {
                     String id = "r" + step;
                     fixture.clearActions();
@@ -164,18 +166,19 @@
                 double budget = 3 * 20 * (0.13 + 0.87 * (times.get(first) - 1_000_000_000L) / 24e6);
                 assertTrue(
                         end - first <= budget + 3 * Math.sqrt(budget) + 3,
-                        end - first + " requests at a budget of " + budget);
+                        end - first + " requests in one window exceed the budget of " + budget);
             }
         }
-        // 20 endpoints, for 8 s, at 0.13 to 0.42 of 20 requests a second: 880 at full utilization.
-        assertTrue(served > 220, served + " requests to endpoints in slow start");
+        // 20 endpoints serve 0.13 to 0.42 of 20 requests per second for 8 s: 880 requests at full utilization.
+        assertTrue(served > 220, served + " requests were sent to endpoints in slow start");
     }
 
     /**
-     * If selected at each turn, many endpoints in slow start would get most requests of a fleet and serve them late.
+     * If every turn led to a selection, endpoints in slow start would get most requests of a large fleet and serve them
+     * late.
      */
     @Test
-    void endpointInSlowStartIsDrawnByItsReducedCapacity() {
+    void drawsEndpointInSlowStartByItsReducedCapacity() {
         int selected = 0;
         for (int seed = 0; seed < 300; seed++) {
             PolicyFixture fixture = new PolicyFixture();
@@ -183,7 +186,7 @@
             fixture.sidecarIndex = seed % 14;
             fixture.seed = seed;
             fixture.loadReporting = LoadReporting.NONE;
-            // At half its capacity beside three endpoints of full capacity: a seventh of the fleet.
+            // Endpoint c has half of its capacity and the other three have full capacity: c has a seventh of the total.
             fixture.start()
                     .listed(
                             A,
@@ -194,23 +197,27 @@
             fixture.advance(200_000).request("r");
             selected += "c".equals(fixture.endpointOf("r", 0)) ? 1 : 0;
         }
-        assertTrue(selected >= 10 && selected <= 90, selected + " of 300");
+        assertTrue(selected >= 10 && selected <= 90, selected + " of 300 requests were sent to c");
     }
 
     /**
-     * Sends of 0.1 s each to an endpoint that started at {@code start}: some, and in no window more than the budget.
+     * Asserts that some requests of 0.1 s each were sent to the endpoint, and in no window more than the budget.
+     *
+     * @param startedMicros when the endpoint started
+     * @param sends send times of the requests, in microseconds
      */
-    private static void assertSentWithinTheBudget(long start, List<Long> sends) {
+    private static void assertSentWithinBudget(long startedMicros, List<Long> sends) {
         assertTrue(sends.size() > 8, "requests sent: " + sends.size());
         for (int first = 0; first < sends.size(); first++) {
             int end = first;
             while (end < sends.size() && sends.get(end) < sends.get(first) + 1_000_000) {
                 end++;
             }
-            double capacityRatio = 0.13 + 0.87 * (sends.get(first) - start) / 24e6;
+            double capacityRatio = 0.13 + 0.87 * (sends.get(first) - startedMicros) / 24e6;
             assertTrue(
                     (end - first) * 0.1 <= 3 * capacityRatio,
-                    (end - first) + " requests of 0.1 s at a capacity of " + capacityRatio);
+                    (end - first) + " requests of 0.1 s in one window exceed the budget at capacity ratio "
+                            + capacityRatio);
         }
     }
 }
