--- a/src/main/java/loadbalancer/decision/EndpointRouting.java
+++ b/src/main/java/loadbalancer/decision/EndpointRouting.java
@@ -1,6 +1,9 @@
 package loadbalancer.decision;
 
-/** Creates and connects the endpoint registry of one load balancing policy and the components that route to it. */
+/**
+ * Creates and connects the classes of one load balancing policy that keep track of the endpoints and decide how
+ * requests are split over them.
+ */
 final class EndpointRouting {
     final IdleConnectionPolicy idleConnections;
     final EndpointRegistry registry;
--- a/src/main/java/loadbalancer/decision/LoadReportHandler.java
+++ b/src/main/java/loadbalancer/decision/LoadReportHandler.java
@@ -34,7 +34,7 @@
         freshEndpoint = null;
     }
 
-    /** Returns when any endpoint last reported, or {@link RateMath#NEVER_MICROS}. */
+    /** Returns when any endpoint last reported, or {@link RateMath#NEVER_MICROS} if none has. */
     long lastReportMicros() {
         return lastReportMicros;
     }
