--- a/src/main/java/loadbalancer/decision/EndpointRouting.java
+++ b/src/main/java/loadbalancer/decision/EndpointRouting.java
@@ -1,6 +1,9 @@
 package loadbalancer.decision;
 
-/** Wires the endpoints of one policy with the parts that decide how requests are split over them. */
+/**
+ * Creates and connects the classes of one load balancing policy that keep track of the endpoints and decide how
+ * requests are split over them.
+ */
 final class EndpointRouting {
     final IdleConnectionPolicy idleConnections;
     final EndpointRegistry registry;
