--- a/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
@@ -34,7 +34,7 @@
         reportHandler.onReport(result.endpointId(), result.loadReport(), nowMicros);
         PendingRequest request = requests.find(result.requestId());
         if (request == null) {
-            reportHandler.clearFresh();
+            reportHandler.clearReportingEndpoint();
             return;
         }
         Attempt attempt = request.attemptInFlight(result.attemptNumber());
@@ -44,7 +44,7 @@
         endAttempt(nowMicros, attempt, result);
         finishOrRetry(nowMicros, request, result);
         scheduler.dispatch(nowMicros);
-        reportHandler.clearFresh();
+        reportHandler.clearReportingEndpoint();
     }
 
     private void endAttempt(long nowMicros, Attempt attempt, AttemptResult result) {
--- a/src/main/java/loadbalancer/decision/EndpointSelector.java
+++ b/src/main/java/loadbalancer/decision/EndpointSelector.java
@@ -6,9 +6,9 @@
  * Selects the endpoint for a request: by sampled load if health checks are allowed and cheap, otherwise by HALO_PoD
  * with the estimated load.
  *
- * <p>Without sampling, the selector makes up to three tries. If the local zone is preferredCandidates, the first try
- * considers only the endpoints of the local zone or, for requests that exceed the local zone's fraction of the traffic,
- * only those of the other zones. The second try considers all endpoints with a free core, the third all endpoints below
+ * <p>Without sampling, the selector makes up to three tries. If the local zone is preferred, the first try considers
+ * only the endpoints of the local zone or, for requests that exceed the local zone's fraction of the traffic, only
+ * those of the other zones. The second try considers all endpoints with a free core, the third all endpoints below
  * their load limit.
  */
 final class EndpointSelector {
@@ -16,7 +16,7 @@
     private final SplittableRandom random;
     private final RoutingRefresher routingRefresher;
     private final RoutingTable routingTable;
-    private final ZoneShares zoneShares;
+    private final ZoneTrafficSplit zoneTrafficSplit;
     private final PowerOfTwoSelector powerOfTwo;
     private final SampledLoadSelector sampledLoad;
 
@@ -25,14 +25,14 @@
             SplittableRandom random,
             RoutingRefresher routingRefresher,
             RoutingTable routingTable,
-            ZoneShares zoneShares,
+            ZoneTrafficSplit zoneTrafficSplit,
             PowerOfTwoSelector powerOfTwo,
             SampledLoadSelector sampledLoad) {
         this.settings = settings;
         this.random = random;
         this.routingRefresher = routingRefresher;
         this.routingTable = routingTable;
-        this.zoneShares = zoneShares;
+        this.zoneTrafficSplit = zoneTrafficSplit;
         this.powerOfTwo = powerOfTwo;
         this.sampledLoad = sampledLoad;
     }
@@ -59,6 +59,6 @@
     private boolean staysInLocalZone() {
         return !settings.localLoadIsUnrepresentative()
                 || routingTable.inOtherZones().size() == 0
-                || random.nextDouble() < zoneShares.localShare();
+                || random.nextDouble() < zoneTrafficSplit.localFraction();
     }
 }
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -32,7 +32,7 @@
     private final PolicySettings settings;
     private final EndpointRegistry registry;
     private final RequestRateEstimator rates;
-    private final ZoneShares zoneShares;
+    private final ZoneTrafficSplit zoneTrafficSplit;
     private final IdleConnectionPolicy idleConnections;
     private List<TrackedEndpoint> members = List.of();
     private long lastUpdateMicros;
@@ -60,12 +60,12 @@
             PolicySettings settings,
             EndpointRegistry registry,
             RequestRateEstimator rates,
-            ZoneShares zoneShares,
+            ZoneTrafficSplit zoneTrafficSplit,
             IdleConnectionPolicy idleConnections) {
         this.settings = settings;
         this.registry = registry;
         this.rates = rates;
-        this.zoneShares = zoneShares;
+        this.zoneTrafficSplit = zoneTrafficSplit;
         this.idleConnections = idleConnections;
     }
 
@@ -79,11 +79,11 @@
         lastUpdateMicros = nowMicros - UPDATE_INTERVAL_MICROS - 1;
     }
 
-    /** Updates the zone shares and selects the subset again if the last update is out of date. */
+    /** Updates the zone fractions and selects the subset again if the last update is out of date. */
     void update(long nowMicros) {
         if (nowMicros - lastUpdateMicros > UPDATE_INTERVAL_MICROS) {
             lastUpdateMicros = nowMicros;
-            zoneShares.update();
+            zoneTrafficSplit.update();
             members = settings.usesSubset() ? selectMembers() : registry.ready();
         }
     }
@@ -127,7 +127,7 @@
             double size,
             int zoneReadyCount,
             List<TrackedEndpoint> selected) {
-        double exactCount = zoneShares.share(zoneIndex) * size * group.size() / zoneReadyCount;
+        double exactCount = zoneTrafficSplit.fraction(zoneIndex) * size * group.size() / zoneReadyCount;
         double roundedCount = Math.floor(exactCount + settings.sidecarIndex() * ROUNDING_STEP % 1);
         double count = Math.max(zoneIndex == settings.localZoneIndex() ? 1 : 0, roundedCount);
         int start = (int) (settings.sidecarIndex() * GOLDEN_RATIO_CONJUGATE % 1 * group.size());
--- a/src/main/java/loadbalancer/decision/EstimateLog.java
+++ b/src/main/java/loadbalancer/decision/EstimateLog.java
@@ -8,14 +8,14 @@
 
     private final LoadBalancerActions actions;
     private final Estimators estimators;
-    private final EndpointRouting routing;
+    private final RoutingComponents routing;
     private final RequestQueue queue;
     private long lastWrittenMicros;
 
     EstimateLog(
             LoadBalancerActions actions,
             Estimators estimators,
-            EndpointRouting routing,
+            RoutingComponents routing,
             RequestQueue queue,
             long nowMicros) {
         this.actions = actions;
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -32,7 +32,7 @@
             SplittableRandom random,
             LoadBalancerActions actions,
             RequestRateEstimator rates,
-            EndpointRouting routing) {
+            RoutingComponents routing) {
         this.settings = settings;
         this.random = random;
         this.actions = actions;
--- a/src/main/java/loadbalancer/decision/GossipState.java
+++ b/src/main/java/loadbalancer/decision/GossipState.java
@@ -51,7 +51,10 @@
         return zoneRatesPerSecond.length;
     }
 
-    /** Returns the part of {@link #meanRatePerSecond} that arrives in the zone, in requests per second. */
+    /**
+     * Returns the total request rate of the zone's live sidecars, divided by the number of live sidecars in all zones,
+     * in requests per second. The values of all zones add up to {@link #meanRatePerSecond}.
+     */
     double zoneRatePerSecond(int zoneIndex) {
         return zoneRatesPerSecond[zoneIndex];
     }
--- a/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
@@ -44,7 +44,7 @@
         }
         reportHandler.onReport(endpointId, report, nowMicros);
         scheduler.dispatch(nowMicros);
-        reportHandler.clearFresh();
+        reportHandler.clearReportingEndpoint();
     }
 
     private static int failureWeight(AttemptOutcome outcome) {
--- a/src/main/java/loadbalancer/decision/HealthChecks.java
+++ b/src/main/java/loadbalancer/decision/HealthChecks.java
@@ -4,7 +4,7 @@
 final class HealthChecks {
     /** A health check may be sent again when the last one has had no outcome for this long. */
     private static final long RESEND_MICROS = 100_000;
-    /** An endpoint counts as unresponsive for this long after a health check was found unanswered. */
+    /** An endpoint counts as unresponsive for this long after it was found not to have replied to a health check. */
     private static final long UNRESPONSIVE_MICROS = 100_000;
 
     private final LoadBalancerActions actions;
@@ -13,8 +13,8 @@
     static final class CheckTimes {
         /** When the health check that has no outcome yet was sent; 0 if there is none. */
         private long sentMicros;
-        /** When a health check for an overdue attempt was last found unanswered. */
-        private long unansweredMicros = RateMath.NEVER_MICROS;
+        /** When the endpoint was last found not to have replied to a health check for an overdue attempt. */
+        private long lastMissingReplyMicros = RateMath.NEVER_MICROS;
     }
 
     HealthChecks(LoadBalancerActions actions) {
@@ -34,15 +34,17 @@
         endpoint.healthChecks.sentMicros = 0;
     }
 
-    /** Marks the endpoint as unresponsive because it has not answered a health check for an overdue attempt in time. */
+    /**
+     * Marks the endpoint as unresponsive because it has not replied to a health check for an overdue attempt in time.
+     */
     void markUnresponsive(long nowMicros, TrackedEndpoint endpoint) {
-        endpoint.healthChecks.unansweredMicros = nowMicros;
+        endpoint.healthChecks.lastMissingReplyMicros = nowMicros;
     }
 
     /** Returns whether the endpoint was recently marked as unresponsive and has sent no load report since. */
     static boolean isUnresponsive(TrackedEndpoint endpoint, long nowMicros) {
-        long unansweredMicros = endpoint.healthChecks.unansweredMicros;
-        return unansweredMicros > endpoint.reportedLoad.reportedMicros()
-                && nowMicros - unansweredMicros < UNRESPONSIVE_MICROS;
+        long lastMissingReplyMicros = endpoint.healthChecks.lastMissingReplyMicros;
+        return lastMissingReplyMicros > endpoint.reportedLoad.reportedMicros()
+                && nowMicros - lastMissingReplyMicros < UNRESPONSIVE_MICROS;
     }
 }
--- a/src/main/java/loadbalancer/decision/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgingPolicy.java
@@ -2,8 +2,8 @@
 
 /**
  * Decides when a request is hedged, that is, sent a second time while its first attempt is in flight. When an attempt
- * is overdue, its endpoint gets a health check. A second attempt is sent only if the check stays unanswered or shows
- * that the endpoint does not hold the request; while the endpoint is processing the request, a second attempt would be
+ * is overdue, its endpoint gets a health check. A second attempt is sent only if the check gets no reply or shows that
+ * the endpoint does not hold the request; while the endpoint is processing the request, a second attempt would be
  * wasted. A budget limits hedged requests to a small fraction of all requests.
  */
 final class HedgingPolicy {
@@ -52,7 +52,7 @@
         }
         request.setOverdueCheckMicros(nowMicros);
         healthChecks.check(nowMicros, attempt.endpoint());
-        actions.startTimer(TimerNames.HEALTH_CHECK_DUE + request.id(), RequestQueue.SWEEP_MICROS);
+        actions.startTimer(TimerNames.HEALTH_CHECK_DUE + request.id(), RequestQueue.SWEEP_INTERVAL_MICROS);
     }
 
     /**
@@ -65,11 +65,11 @@
             return;
         }
         TrackedEndpoint endpoint = attempt.endpoint();
-        boolean answered = endpoint.reportedLoad.reportedMicros() >= request.overdueCheckMicros();
+        boolean replied = endpoint.reportedLoad.reportedMicros() >= request.overdueCheckMicros();
         // The endpoint replied but holds fewer attempts than were sent to it: the request or its response was lost.
-        boolean lost = answered && endpoint.reportedLoad.lostAttempts() > 0;
+        boolean lost = replied && endpoint.reportedLoad.lostAttempts() > 0;
         attempt.setReportedLost(lost);
-        if (!answered) {
+        if (!replied) {
             healthChecks.markUnresponsive(nowMicros, endpoint);
         } else if (!lost) {
             overdueTimer.restart(attempt);
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -38,7 +38,7 @@
             LoadBalancerSettings initialSettings, long seed, long nowMicros, LoadBalancerActions actions) {
         SplittableRandom random = new SplittableRandom(seed);
         estimators = new Estimators(initialSettings, nowMicros);
-        EndpointRouting routing = new EndpointRouting(estimators, actions);
+        RoutingComponents routing = new RoutingComponents(estimators, actions);
         endpoints = routing.registry;
         subset = routing.subset;
         RequestComponents requestComponents = new RequestComponents(estimators, routing, random, actions, nowMicros);
--- a/src/main/java/loadbalancer/decision/LoadReportHandler.java
+++ b/src/main/java/loadbalancer/decision/LoadReportHandler.java
@@ -4,7 +4,7 @@
 final class LoadReportHandler {
     private final EndpointRegistry registry;
     private final LoadEstimator loads;
-    private TrackedEndpoint freshEndpoint;
+    private TrackedEndpoint reportingEndpoint;
     private long lastReportMicros = RateMath.NEVER_MICROS;
 
     LoadReportHandler(EndpointRegistry registry, LoadEstimator loads) {
@@ -20,18 +20,18 @@
         }
         loads.onReport(endpoint, report, nowMicros);
         lastReportMicros = nowMicros;
-        freshEndpoint = endpoint;
+        reportingEndpoint = endpoint;
         endpoint.machineType().learnCores(report);
     }
 
     /** Returns the endpoint that reported in the current event, or null if none did. */
-    TrackedEndpoint freshEndpoint() {
-        return freshEndpoint;
+    TrackedEndpoint reportingEndpoint() {
+        return reportingEndpoint;
     }
 
     /** Clears the endpoint that reported in the current event. Called at the end of each event. */
-    void clearFresh() {
-        freshEndpoint = null;
+    void clearReportingEndpoint() {
+        reportingEndpoint = null;
     }
 
     /** Returns when any endpoint last reported, or {@link RateMath#NEVER_MICROS} if none has. */
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -28,7 +28,7 @@
     private boolean panicMode;
 
     /** The failures and ejections of one endpoint. */
-    static final class Health {
+    static final class FailureHistory {
         /** Sum of the weights of the failures since the last success or ejection. */
         private int failureWeight;
         /** Number of ejections since the last success. */
@@ -48,12 +48,12 @@
     }
 
     void recordSuccess(TrackedEndpoint endpoint) {
-        endpoint.health.failureWeight = 0;
-        endpoint.health.ejections = 0;
+        endpoint.failureHistory.failureWeight = 0;
+        endpoint.failureHistory.ejections = 0;
     }
 
     void recordFailure(long nowMicros, TrackedEndpoint endpoint, int weight) {
-        endpoint.health.failureWeight += weight;
+        endpoint.failureHistory.failureWeight += weight;
         ejectIfDue(nowMicros, endpoint);
     }
 
@@ -62,23 +62,24 @@
      * during an ejection count toward the next one.
      */
     void ejectIfDue(long nowMicros, TrackedEndpoint endpoint) {
-        Health health = endpoint.health;
-        if (health.failureWeight >= EJECTION_WEIGHT && nowMicros >= health.ejectedUntilMicros) {
-            health.failureWeight = 0;
-            long ejectionMicros = BASE_EJECTION_MICROS << Math.min(health.ejections, MAX_DOUBLINGS);
-            health.ejectedUntilMicros = nowMicros + Math.min(MAX_EJECTION_MICROS, ejectionMicros);
-            health.ejections++;
+        FailureHistory history = endpoint.failureHistory;
+        if (history.failureWeight >= EJECTION_WEIGHT && nowMicros >= history.ejectedUntilMicros) {
+            history.failureWeight = 0;
+            long ejectionMicros = BASE_EJECTION_MICROS << Math.min(history.ejections, MAX_DOUBLINGS);
+            history.ejectedUntilMicros = nowMicros + Math.min(MAX_EJECTION_MICROS, ejectionMicros);
+            history.ejections++;
         }
     }
 
     /** Records a failure that is expected to last, and ejects the endpoint at once and for longer than usual. */
     void recordPersistentFailure(long nowMicros, TrackedEndpoint endpoint) {
-        endpoint.health.ejections = Math.max(PERSISTENT_FAILURE_MIN_EJECTIONS, endpoint.health.ejections);
+        endpoint.failureHistory.ejections =
+                Math.max(PERSISTENT_FAILURE_MIN_EJECTIONS, endpoint.failureHistory.ejections);
         recordFailure(nowMicros, endpoint, EJECTION_WEIGHT);
     }
 
     static boolean isEjected(TrackedEndpoint endpoint, long nowMicros) {
-        return nowMicros < endpoint.health.ejectedUntilMicros;
+        return nowMicros < endpoint.failureHistory.ejectedUntilMicros;
     }
 
     /** Enters or leaves panic mode, depending on how many ready endpoints are ejected or unresponsive. */
@@ -98,7 +99,7 @@
             return true;
         }
         // After an ejection, the endpoint gets one attempt at a time until one succeeds.
-        boolean awaitsTrialOutcome = endpoint.health.ejections > 0 && endpoint.localInFlight() > 0;
+        boolean awaitsTrialOutcome = endpoint.failureHistory.ejections > 0 && endpoint.localInFlight() > 0;
         return !HealthChecks.isUnresponsive(endpoint, nowMicros)
                 && !isEjected(endpoint, nowMicros)
                 && !awaitsTrialOutcome;
--- a/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
+++ b/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
@@ -30,6 +30,6 @@
     private void startTimer(Attempt attempt, double forecastRatio) {
         long delayMicros = (long) (forecastRatio * attempt.forecast().responseMicros());
         String name = TimerNames.ATTEMPT_OVERDUE + attempt.request().id();
-        actions.startTimer(name, Math.max(RequestQueue.SWEEP_MICROS, delayMicros));
+        actions.startTimer(name, Math.max(RequestQueue.SWEEP_INTERVAL_MICROS, delayMicros));
     }
 }
--- a/src/main/java/loadbalancer/decision/RequestComponents.java
+++ b/src/main/java/loadbalancer/decision/RequestComponents.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Creates and wires the components that handle requests, from their admission to their final response. */
+/** Creates and connects the components that handle requests, from their admission to their final response. */
 final class RequestComponents {
     final AttemptEligibility eligibility;
     final RequestTracker requests;
@@ -14,12 +14,12 @@
     final HealthCheckOutcomeHandler healthCheckOutcomeHandler;
 
     private final Estimators estimators;
-    private final EndpointRouting routing;
+    private final RoutingComponents routing;
     private final EndpointAvailability availability;
 
     RequestComponents(
             Estimators estimators,
-            EndpointRouting routing,
+            RoutingComponents routing,
             SplittableRandom random,
             LoadBalancerActions actions,
             long nowMicros) {
@@ -64,7 +64,7 @@
                 random,
                 routingRefresher,
                 routing.table,
-                routing.zoneShares,
+                routing.zoneTrafficSplit,
                 powerOfTwo,
                 sampledLoad);
     }
--- a/src/main/java/loadbalancer/decision/RequestQueue.java
+++ b/src/main/java/loadbalancer/decision/RequestQueue.java
@@ -9,7 +9,7 @@
  */
 final class RequestQueue {
     /** Interval of the sweeps, which reject or fail before their deadline the requests that find no endpoint. */
-    static final long SWEEP_MICROS = 5_000;
+    static final long SWEEP_INTERVAL_MICROS = 5_000;
     /** Time reserved for the attempt of a queued request, as a multiple of its service time at the fastest endpoint. */
     private static final double RESERVED_TIME_RATIO = 1.5;
 
@@ -35,8 +35,9 @@
                 ? 0
                 : RESERVED_TIME_RATIO * routingTable.bestSpeedFactor() * request.workMicros();
         long latestForUsefulResponseMicros = (long) (request.usefulUntilMicros() - reservedMicros);
-        long latestForSweepMicros =
-                request.deadlineMicros() - SWEEP_MICROS - 2 * settings.current().clockTickMicros();
+        long latestForSweepMicros = request.deadlineMicros()
+                - SWEEP_INTERVAL_MICROS
+                - 2 * settings.current().clockTickMicros();
         return Math.min(latestForSweepMicros, latestForUsefulResponseMicros);
     }
 
@@ -86,7 +87,7 @@
     void startSweepTimer() {
         if (!sweepTimerRunning && !requests.isEmpty()) {
             sweepTimerRunning = true;
-            actions.startTimer(TimerNames.QUEUE_SWEEP, SWEEP_MICROS);
+            actions.startTimer(TimerNames.QUEUE_SWEEP, SWEEP_INTERVAL_MICROS);
         }
     }
 }
--- a/src/main/java/loadbalancer/decision/EndpointRouting.java
+++ b/src/main/java/loadbalancer/decision/RoutingComponents.java
@@ -1,20 +1,17 @@
 package loadbalancer.decision;
 
-/**
- * Creates and connects the classes of one load balancing policy that keep track of the endpoints and decide how
- * requests are split over them.
- */
-final class EndpointRouting {
+/** Creates and connects the components that track the endpoints and decide how requests are split over them. */
+final class RoutingComponents {
     final IdleConnectionPolicy idleConnections;
     final EndpointRegistry registry;
     final HealthChecks healthChecks;
     final OutlierDetector outliers;
-    final ZoneShares zoneShares;
+    final ZoneTrafficSplit zoneTrafficSplit;
     final EndpointSubset subset;
     final RoutingTable table;
     final FleetLoadEstimator fleetLoad;
 
-    EndpointRouting(Estimators estimators, LoadBalancerActions actions) {
+    RoutingComponents(Estimators estimators, LoadBalancerActions actions) {
         PolicySettings settings = estimators.settings;
         RequestRateEstimator rates = estimators.rates;
         SlowStart slowStart = estimators.slowStart;
@@ -22,8 +19,8 @@
         registry = new EndpointRegistry(settings, idleConnections);
         healthChecks = new HealthChecks(actions);
         outliers = new OutlierDetector(registry);
-        zoneShares = new ZoneShares(settings, registry, estimators.gossip);
-        subset = new EndpointSubset(settings, registry, rates, zoneShares, idleConnections);
+        zoneTrafficSplit = new ZoneTrafficSplit(settings, registry, estimators.gossip);
+        subset = new EndpointSubset(settings, registry, rates, zoneTrafficSplit, idleConnections);
         table = new RoutingTable(settings, registry, subset, rates, estimators.work, estimators.speeds, slowStart);
         fleetLoad = new FleetLoadEstimator(settings, estimators.attempts, estimators.gossip, slowStart, table);
     }
--- a/src/main/java/loadbalancer/decision/SampledLoadSelector.java
+++ b/src/main/java/loadbalancer/decision/SampledLoadSelector.java
@@ -10,7 +10,7 @@
     /** From this many pairs on, an endpoint below its load limit is selected even if it has no free core. */
     private static final int MAX_PAIRS = 3;
     /** Maximum wait for the replies of a pair: until the next sweep of the queue. */
-    private static final long WAIT_MICROS = RequestQueue.SWEEP_MICROS;
+    private static final long WAIT_MICROS = RequestQueue.SWEEP_INTERVAL_MICROS;
     /** Maximum number of times that the delay before the next pair doubles; it limits health checks in a long wait. */
     private static final int MAX_DOUBLINGS = 2;
     /**
@@ -83,7 +83,7 @@
 
     private TrackedEndpoint select(long nowMicros, PendingRequest request, TrackedEndpoint slowStartEndpoint) {
         Sampling sampling = request.sampling;
-        TrackedEndpoint reporting = reportHandler.freshEndpoint();
+        TrackedEndpoint reporting = reportHandler.reportingEndpoint();
         if (reporting != null && sampling.comparedPairs > 0 && hasFreeCore(nowMicros, request, reporting)) {
             sampling.first = null;
             return reporting;
--- a/src/main/java/loadbalancer/decision/TimerNames.java
+++ b/src/main/java/loadbalancer/decision/TimerNames.java
@@ -10,7 +10,7 @@
     static final String DISCOVERY_RETRY = "discovery-retry";
     /** Prefix, followed by a request id: an attempt of the request is overdue. */
     static final String ATTEMPT_OVERDUE = "attempt-overdue:";
-    /** Prefix, followed by a request id: the health check for its overdue attempt should have been answered by now. */
+    /** Prefix, followed by a request id: the reply to the health check for its overdue attempt is due. */
     static final String HEALTH_CHECK_DUE = "health-check-due:";
 
     private TimerNames() {}
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -17,7 +17,7 @@
     final InFlightAttempts.PerEndpoint attempts = new InFlightAttempts.PerEndpoint();
     final SpeedEstimator.Deviation deviation = new SpeedEstimator.Deviation();
     final LoadEstimator.ReportedLoad reportedLoad = new LoadEstimator.ReportedLoad();
-    final OutlierDetector.Health health = new OutlierDetector.Health();
+    final OutlierDetector.FailureHistory failureHistory = new OutlierDetector.FailureHistory();
     final HealthChecks.CheckTimes healthChecks = new HealthChecks.CheckTimes();
     final IdleConnectionPolicy.ConnectionUse connections = new IdleConnectionPolicy.ConnectionUse();
     final SlowStartBudget.SentWork slowStartWork = new SlowStartBudget.SentWork();
@@ -30,13 +30,13 @@
     }
 
     /**
-     * Replaces the list entry. If the endpoint has restarted, resets the deviation, health and connection state of the
-     * previous process.
+     * Replaces the list entry. If the endpoint has restarted, resets the deviation, failure history and connection
+     * state of the previous process.
      */
     void update(Endpoint newListEntry, int zoneIndex) {
         if (newListEntry.startedMicros() != listEntry.startedMicros()) {
             deviation.reset();
-            health.reset();
+            failureHistory.reset();
             connections.reset();
         }
         listEntry = newListEntry;
--- a/src/main/java/loadbalancer/decision/ZoneShares.java
+++ b/src/main/java/loadbalancer/decision/ZoneTrafficSplit.java
@@ -1,29 +1,29 @@
 package loadbalancer.decision;
 
 /**
- * Decides the share of each zone: the fraction of this sidecar's requests that it sends to the zone.
+ * Decides how this sidecar's requests are split over the zones, as one fraction for each zone.
  *
- * <p>If crossing zones has no price, or if local requests represent the load of the endpoints well, the shares are
+ * <p>If crossing zones has no price, or if local requests represent the load of the endpoints well, the fractions are
  * proportional to the zones' numbers of ready endpoints. Otherwise requests leave the local zone only if the zone's
  * sidecars together receive more than the zone's fraction of the fleet's request rate, and then only the excess does;
  * without gossip, all requests stay in the local zone.
  */
-final class ZoneShares {
+final class ZoneTrafficSplit {
     private final PolicySettings settings;
     private final EndpointRegistry registry;
     private final GossipState gossip;
-    private double[] shares = new double[0];
+    private double[] fractions = new double[0];
 
-    ZoneShares(PolicySettings settings, EndpointRegistry registry, GossipState gossip) {
+    ZoneTrafficSplit(PolicySettings settings, EndpointRegistry registry, GossipState gossip) {
         this.settings = settings;
         this.registry = registry;
         this.gossip = gossip;
     }
 
     void update() {
-        shares = new double[gossip.zoneCount()];
+        fractions = new double[gossip.zoneCount()];
         for (TrackedEndpoint endpoint : registry.ready()) {
-            shares[endpoint.zoneIndex()] += 1.0 / registry.ready().size();
+            fractions[endpoint.zoneIndex()] += 1.0 / registry.ready().size();
         }
         if (settings.prefersLocalZone() && settings.localLoadIsUnrepresentative()) {
             preferLocalZone();
@@ -34,33 +34,34 @@
     private void preferLocalZone() {
         int localZoneIndex = settings.localZoneIndex();
         double meanRatePerSecond = gossip.livePeers() > 0 ? gossip.meanRatePerSecond() : 0;
-        double localShare = meanRatePerSecond <= 0
+        double localFraction = meanRatePerSecond <= 0
                 ? 1
                 : Math.min(
                         1,
                         RateMath.safeDivide(
-                                shares[localZoneIndex] * meanRatePerSecond, gossip.zoneRatePerSecond(localZoneIndex)));
-        double spareShareSum = 0;
-        for (int zone = 0; zone < shares.length; zone++) {
+                                fractions[localZoneIndex] * meanRatePerSecond,
+                                gossip.zoneRatePerSecond(localZoneIndex)));
+        double spareFractionSum = 0;
+        for (int zone = 0; zone < fractions.length; zone++) {
             boolean receivesNoExcess = zone == localZoneIndex || meanRatePerSecond <= 0;
-            shares[zone] = receivesNoExcess
+            fractions[zone] = receivesNoExcess
                     ? 0
-                    : Math.max(0, shares[zone] - gossip.zoneRatePerSecond(zone) / meanRatePerSecond);
-            spareShareSum += shares[zone];
+                    : Math.max(0, fractions[zone] - gossip.zoneRatePerSecond(zone) / meanRatePerSecond);
+            spareFractionSum += fractions[zone];
         }
-        for (int zone = 0; zone < shares.length; zone++) {
-            shares[zone] *= RateMath.safeDivide(1 - localShare, spareShareSum);
+        for (int zone = 0; zone < fractions.length; zone++) {
+            fractions[zone] *= RateMath.safeDivide(1 - localFraction, spareFractionSum);
         }
-        shares[localZoneIndex] = localShare;
+        fractions[localZoneIndex] = localFraction;
     }
 
     /** Returns the fraction of this sidecar's requests, 0 to 1, that it sends to the zone. */
-    double share(int zoneIndex) {
-        return shares[zoneIndex];
+    double fraction(int zoneIndex) {
+        return fractions[zoneIndex];
     }
 
     /** Returns the fraction of this sidecar's requests, 0 to 1, that stays in the local zone. */
-    double localShare() {
-        return shares[settings.localZoneIndex()];
+    double localFraction() {
+        return fractions[settings.localZoneIndex()];
     }
 }
--- a/src/main/java/loadbalancer/decision/package-info.java
+++ b/src/main/java/loadbalancer/decision/package-info.java
@@ -7,7 +7,7 @@
  * <p>{@link loadbalancer.decision.LoadBalancer} is the interface for events,
  * {@link loadbalancer.decision.LoadBalancerActions} the interface for actions.
  * {@link loadbalancer.decision.LoadBalancingPolicy} passes each event to the classes that decide on it; these classes
- * are created and connected in {@code Estimators}, {@code EndpointRouting} and {@code RequestComponents}.
+ * are created and connected in {@code Estimators}, {@code RoutingComponents} and {@code RequestComponents}.
  *
  * <p>If a class keeps state for each endpoint, the state is a class nested in it, so that no other class can write it.
  * The remaining fields of an endpoint or a request have setters whose comments name the only class that calls them.
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -87,11 +87,11 @@
     }
 
     /** Returns the number of requests that are not completed or still have an attempt in flight. */
-    public int openRequests() {
+    public int openRequestCount() {
         return exchanges.size();
     }
 
-    /** Returns whether a request with this id is among the {@link #openRequests}. */
+    /** Returns whether a request with this id is open, in the sense of {@link #openRequestCount}. */
     boolean isOpen(String requestId) {
         return exchanges.containsKey(requestId);
     }
@@ -217,7 +217,7 @@
         if (maySend) {
             upstreams.startCall(attempt);
         } else {
-            attempt.endUnsent(clock.nowMicros());
+            attempt.endAsNotSent(clock.nowMicros());
         }
     }
 
@@ -238,7 +238,7 @@
      * for any other outcome.
      */
     private void attemptEnded(RequestExchange exchange, UpstreamCall attempt, AttemptOutcome outcome, ByteBuf body) {
-        attempt.recordEnd(clock.nowMicros());
+        attempt.recordEndTime(clock.nowMicros());
         statistics.attemptCompleted(outcome);
         if (outcome == AttemptOutcome.OK && !exchange.isCompleted()) {
             statistics.requestServed(exchange.request().requestClassName());
--- a/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
+++ b/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
@@ -12,7 +12,7 @@
 /**
  * The HTTP server to which the application connects. It accepts connections within {@link ConnectionLimits}, reports
  * readiness, and shuts down without losing requests. The constructor, {@link #listen} and
- * {@link #holdReadinessForWarmUp} are called on the thread that starts the sidecar; all other methods on the event
+ * {@link #delayReadinessForWarmUp} are called on the thread that starts the sidecar; all other methods on the event
  * loop.
  */
 public final class SidecarHttpServer {
@@ -61,7 +61,7 @@
     }
 
     /** Returns the number of open connections of clients. */
-    public int openConnections() {
+    public int openConnectionCount() {
         return connections.size();
     }
 
@@ -77,7 +77,7 @@
      * Makes the server report that it is not ready until {@link #warmUpCompleted} is called. Until then
      * {@code onRequest} runs for each valid request, before it is dispatched.
      */
-    public void holdReadinessForWarmUp(Runnable onRequest) {
+    public void delayReadinessForWarmUp(Runnable onRequest) {
         onRequestDuringWarmUp = onRequest;
     }
 
--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
@@ -97,7 +97,7 @@
         Map<String, String> flattenedSettings = file.object(SETTINGS).flattened();
         LoadBalancerSettings settings = new SettingsReader(flattenedSettings).read();
         return new SidecarConfiguration(
-                environment.getOrDefault(NAME_VARIABLE, file.textOr(NAME, DEFAULT_NAME)),
+                environment.getOrDefault(NAME_VARIABLE, file.stringOr(NAME, DEFAULT_NAME)),
                 address(LISTEN_VARIABLE, LISTEN_ADDRESS),
                 address(DISCOVERY_VARIABLE, DISCOVERY_ADDRESS),
                 seed(),
@@ -112,7 +112,7 @@
 
     private List<InetSocketAddress> gossipPeers() {
         List<InetSocketAddress> peers = new ArrayList<>();
-        for (String peer : file.textsOrNone(GOSSIP_PEERS)) {
+        for (String peer : file.stringsOrEmpty(GOSSIP_PEERS)) {
             peers.add(parseAddress(GOSSIP_PEERS, peer));
         }
         return peers;
@@ -135,11 +135,11 @@
 
     private InetSocketAddress address(String variable, String field) {
         String override = environment.get(variable);
-        return override == null ? parseAddress(field, file.text(field)) : parseAddress(variable, override);
+        return override == null ? parseAddress(field, file.string(field)) : parseAddress(variable, override);
     }
 
     private InetSocketAddress addressOrNull(String field) {
-        return file.has(field) ? parseAddress(field, file.text(field)) : null;
+        return file.has(field) ? parseAddress(field, file.string(field)) : null;
     }
 
     private static InetSocketAddress parseAddress(String source, String text) {
@@ -152,7 +152,7 @@
     }
 
     private long seed() {
-        String text = file.text(SEED);
+        String text = file.string(SEED);
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -96,12 +96,12 @@
         }
     }
 
-    /** Returns whether any call has been answered or has failed. The list is then as recent as possible. */
-    public boolean hasSynced() {
+    /** Returns whether any call has completed, successfully or not. The list is then as recent as possible. */
+    public boolean hasCompletedCall() {
         return cursor.hasCompletedCall();
     }
 
-    /** Starts a call. If one is already in flight, its response also answers this poll. */
+    /** Starts a call. If one is already in flight, its response also serves as the response to this poll. */
     public void poll() {
         pollPending = mode == DiscoveryMode.POLLED;
         startCallIfIdle();
@@ -112,7 +112,7 @@
      * flight to the previous address is cancelled. The cancelled call does not count as a failure, so no backoff
      * follows.
      */
-    public void moveTo(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             SidecarLog.info("discovery_address_unchanged address=" + address);
             return;
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
@@ -16,7 +16,7 @@
      */
     private boolean fullSnapshotRequired;
     /**
-     * Whether any call has been answered or has failed. Before that, the known list comes from the configuration and
+     * Whether any call has completed, successfully or not. Before that, the known list comes from the configuration and
      * may be outdated.
      */
     private boolean callCompleted;
@@ -31,7 +31,7 @@
 
     /**
      * Returns whether the next call is a long poll, whose response discovery may delay until there is a change. The
-     * first call and calls for a full snapshot are answered at once.
+     * first call and calls for a full snapshot receive their response at once.
      */
     boolean nextCallIsLongPoll() {
         return callCompleted && !fullSnapshotRequired;
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -41,7 +41,7 @@
     }
 
     /** Records that the task with this name, which began at {@code startMicros}, has finished. */
-    public void taskFinished(String taskName, long startMicros) {
+    public void recordFinishedTask(String taskName, long startMicros) {
         long durationMicros = clock.nowMicros() - startMicros;
         if (durationMicros > longestTaskMicros) {
             longestTaskMicros = durationMicros;
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -47,7 +47,7 @@
             if (!FaultIsolation.run(callName, () -> call.accept(loadBalancer))) {
                 actions.add(onFailure);
             }
-            monitor.taskFinished(callName, startMicros);
+            monitor.recordFinishedTask(callName, startMicros);
         });
         if (!running) {
             runPending();
@@ -70,7 +70,7 @@
         for (Runnable action; (action = actions.poll()) != null; ) {
             long startMicros = clock.nowMicros();
             FaultIsolation.run("action", action);
-            monitor.taskFinished("action", startMicros);
+            monitor.recordFinishedTask("action", startMicros);
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -15,7 +15,7 @@
 /**
  * A single-threaded event loop that records when it last read all of its sockets. If the loop is late, a client's
  * disconnect may still be unread in one socket while an event from another socket starts an attempt for that client.
- * Therefore an attempt is started only after a recent read of all sockets ({@link #afterPendingReads}). Waiting for
+ * Therefore an attempt is started only after a recent read of all sockets ({@link #runAfterPendingReads}). Waiting for
  * this read postpones the start by up to {@link #MAX_POSTPONEMENTS} iterations of the loop, but never blocks the loop.
  *
  * <p>{@link #clock}, {@link #nettyEventLoop} and {@link #shutDown} may be called from any thread, all other methods
@@ -82,7 +82,7 @@
      * Runs {@code attemptStart} after all data that the sockets contain now has been read and handled. If the loop
      * stays late, runs it after {@link #MAX_POSTPONEMENTS} postponements in any case.
      */
-    public void afterPendingReads(Runnable attemptStart) {
+    public void runAfterPendingReads(Runnable attemptStart) {
         pendingAttemptStarts.add(attemptStart);
         if (!attemptStartsScheduled) {
             attemptStartsScheduled = true;
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -62,7 +62,7 @@
         long nowMicros = clock.nowMicros();
         recordLag(nowMicros - previousRunMicros - INTERVAL_MILLIS * 1000);
         httpServer.closeStalledConnections();
-        monitor.taskFinished("stalled_connection_sweep", nowMicros);
+        monitor.recordFinishedTask("stalled_connection_sweep", nowMicros);
         if (++runs % RUNS_PER_TOTALS_LINE == 0) {
             logTotals();
         }
@@ -81,11 +81,11 @@
     private void logTotals() {
         long startMicros = clock.nowMicros();
         String totals = statistics.summarizeAndReset(
-                dispatcher.openRequests(), httpServer.openConnections(), upstreamPool.openConnections());
+                dispatcher.openRequestCount(), httpServer.openConnectionCount(), upstreamPool.openConnectionCount());
         if (totals != null) {
             SidecarLog.info(totals);
             monitor.resetBaseline();
         }
-        monitor.taskFinished("totals", startMicros);
+        monitor.recordFinishedTask("totals", startMicros);
     }
 }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -101,7 +101,7 @@
                 eventLoop,
                 upstreamTimeouts(settings()),
                 UpstreamConnectionPool.REUSE_DELAY_MICROS,
-                () -> descriptorBudget.maxConnections() - openClientConnections(),
+                () -> descriptorBudget.maxConnections() - openClientConnectionCount(),
                 statistics);
     }
 
@@ -124,7 +124,7 @@
                 eventLoop,
                 dispatcher,
                 settings().requestClasses(),
-                () -> discovery.hasSynced() && upstreamPool.hasReadyEndpoint(),
+                () -> discovery.hasCompletedCall() && upstreamPool.hasReadyEndpoint(),
                 new ConnectionLimits(
                         descriptorBudget.maxClientConnections(),
                         descriptorBudget.maxIdleClientConnections(),
@@ -134,10 +134,10 @@
 
     /**
      * Returns the number of open client connections. The upstream pool gets a lambda that calls this method rather than
-     * {@code httpServer::openConnections}, because {@link #httpServer} is not yet set when the pool is created.
+     * {@code httpServer::openConnectionCount}, because {@link #httpServer} is not yet set when the pool is created.
      */
-    private int openClientConnections() {
-        return httpServer.openConnections();
+    private int openClientConnectionCount() {
+        return httpServer.openConnectionCount();
     }
 
     /**
@@ -145,7 +145,7 @@
      * to free one.
      */
     private boolean hasDescriptorForClient() {
-        return openClientConnections() + upstreamPool.openConnections() < descriptorBudget.maxConnections()
+        return openClientConnectionCount() + upstreamPool.openConnectionCount() < descriptorBudget.maxConnections()
                 || upstreamPool.closeOldestIdleConnection();
     }
 
@@ -204,10 +204,10 @@
      * Returns the number of client and upstream connections that are open or being opened. Blocks until the event loop
      * has counted them.
      */
-    int openConnections() throws InterruptedException {
+    int openConnectionCount() throws InterruptedException {
         int[] open = new int[1];
         nettyEventLoop
-                .submit(() -> open[0] = httpServer.openConnections() + upstreamPool.openConnections())
+                .submit(() -> open[0] = httpServer.openConnectionCount() + upstreamPool.openConnectionCount())
                 .sync();
         return open[0];
     }
@@ -223,16 +223,16 @@
     }
 
     /**
-     * Keeps the sidecar from reporting readiness until {@link #warmUpCompleted}, although it serves requests. Until
+     * Makes the sidecar report that it is not ready until {@link #warmUpCompleted}, although it serves requests. Until
      * then {@code onRequest} runs on the event loop for each accepted request. Must be called before {@link #start}.
      */
-    public void holdReadinessForWarmUp(Runnable onRequest) {
-        httpServer.holdReadinessForWarmUp(onRequest);
+    public void delayReadinessForWarmUp(Runnable onRequest) {
+        httpServer.delayReadinessForWarmUp(onRequest);
     }
 
     /**
-     * Lets the sidecar report readiness as soon as discovery has synced and an endpoint is ready. Blocks until the
-     * event loop has applied the change.
+     * Lets the sidecar report readiness as soon as a call to discovery has completed and an endpoint is ready. Blocks
+     * until the event loop has applied the change.
      */
     void warmUpCompleted() throws InterruptedException {
         nettyEventLoop.submit(httpServer::warmUpCompleted).sync();
@@ -244,7 +244,7 @@
      */
     public void applyConfiguration(SidecarConfiguration reloaded) {
         nettyEventLoop.execute(() -> {
-            discovery.moveTo(reloaded.discoveryAddress());
+            discovery.changeAddress(reloaded.discoveryAddress());
             if (hasNewSettingsOrPeers(reloaded)) {
                 configuration = reloaded;
                 applySettings(reloaded);
@@ -273,7 +273,7 @@
     }
 
     /**
-     * Starts the graceful shutdown. Runs {@code onStopped} on the event loop once all accepted requests are answered
+     * Starts the graceful shutdown. Runs {@code onStopped} on the event loop once all accepted requests are completed
      * and all client connections are closed.
      */
     void shutDownGracefully(Runnable onStopped) {
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -51,7 +51,7 @@
         timer.phaseCompleted("settings");
         Sidecar sidecar = new Sidecar(configuration, SidecarProcess::newLoadBalancer);
         StartupWarmUp warmUp = new StartupWarmUp(configuration, SidecarProcess::newLoadBalancer);
-        sidecar.holdReadinessForWarmUp(warmUp::cancel);
+        sidecar.delayReadinessForWarmUp(warmUp::cancel);
         if (!tryStart(sidecar)) {
             return EXIT_START_FAILED;
         }
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Runs the warm-up, blocks until it has ended and returns the number of requests that were answered. A failure is
+     * Runs the warm-up, blocks until it has ended and returns the number of responses that were received. A failure is
      * logged, not thrown.
      */
     int run() {
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -35,22 +35,22 @@
         countsOf(requestClass).accepted++;
     }
 
-    /** Counts a request that was answered with the response of an endpoint. */
+    /** Counts a request that was completed with the response of an endpoint. */
     public void requestServed(String requestClass) {
         countsOf(requestClass).served++;
     }
 
-    /** Counts a request that was answered with a rejection, which states that no endpoint has run the request. */
+    /** Counts a request that was completed with a rejection, which states that no endpoint has run the request. */
     public void requestRejected(String requestClass) {
         countsOf(requestClass).rejected++;
     }
 
-    /** Counts a request that was answered with an error, and that an endpoint may have run. */
+    /** Counts a request that was completed with an error, and that an endpoint may have run. */
     public void requestFailed() {
         failedRequests++;
     }
 
-    /** Counts a client that closed its connection before its request was answered. */
+    /** Counts a client that closed its connection before it received the response to its request. */
     public void clientDisconnected() {
         disconnectedClients++;
     }
@@ -83,17 +83,17 @@
     }
 
     /** Returns a log line with all counts and resets the counts. Returns null if there was no traffic. */
-    public String summarizeAndReset(int openRequests, int clientConnections, int upstreamConnections) {
-        if (requestClasses.isEmpty() && clientConnectionsAccepted + upstreamConnectionsOpened + openRequests == 0) {
+    public String summarizeAndReset(int openRequestCount, int clientConnectionCount, int upstreamConnectionCount) {
+        if (requestClasses.isEmpty() && clientConnectionsAccepted + upstreamConnectionsOpened + openRequestCount == 0) {
             maxLagMicros = 0;
             return null;
         }
-        String line = summary(openRequests, clientConnections, upstreamConnections);
+        String line = summary(openRequestCount, clientConnectionCount, upstreamConnectionCount);
         reset();
         return line;
     }
 
-    private String summary(int openRequests, int clientConnections, int upstreamConnections) {
+    private String summary(int openRequestCount, int clientConnectionCount, int upstreamConnectionCount) {
         StringBuilder line = new StringBuilder("totals");
         requestClasses.forEach((name, counts) -> line.append(" class=")
                 .append(name)
@@ -105,12 +105,12 @@
                 .append(counts.rejected));
         line.append(" failed=").append(failedRequests);
         line.append(" client_disconnected=").append(disconnectedClients);
-        line.append(" open_requests=").append(openRequests);
+        line.append(" open_requests=").append(openRequestCount);
         line.append(" queued_mean_micros=").append(totalQueuedMicros / Math.max(1, firstAttempts));
         line.append(" queued_max_micros=").append(maxQueuedMicros);
-        line.append(" client_connections=").append(clientConnections);
+        line.append(" client_connections=").append(clientConnectionCount);
         line.append(" client_connections_accepted=").append(clientConnectionsAccepted);
-        line.append(" upstream_connections=").append(upstreamConnections);
+        line.append(" upstream_connections=").append(upstreamConnectionCount);
         line.append(" upstream_connections_opened=").append(upstreamConnectionsOpened);
         line.append(" lag_max_millis=").append(maxLagMicros / 1000);
         attemptOutcomes.forEach((outcome, attempts) ->
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -52,7 +52,7 @@
     private static EndpointList readList(JsonObject json) {
         List<Entry> entries = new ArrayList<>();
         for (JsonObject instance : json.objects("instances")) {
-            entries.add(new Entry(readEndpoint(instance), parseAddress(instance.text("hostPort"))));
+            entries.add(new Entry(readEndpoint(instance), parseAddress(instance.string("hostPort"))));
         }
         return new EndpointList(json.number("generation"), json.flag("reset"), entries);
     }
@@ -61,13 +61,13 @@
         // Start times are Unix times on the wire and in the load balancer. The wire has milliseconds, the load balancer
         // microseconds.
         return new Endpoint(
-                instance.text("instanceId"),
-                instance.textOr("zone", ""),
-                instance.textOr("machineType", ""),
+                instance.string("instanceId"),
+                instance.stringOr("zone", ""),
+                instance.stringOr("machineType", ""),
                 (int) instance.numberOr("cell", Endpoint.NO_CELL),
                 instance.numberOr("startedAtMs", 0) * MICROS_PER_MILLI,
                 instance.doubleOr("weight", DEFAULT_WEIGHT),
-                parseState(instance.text("lifecycle")));
+                parseState(instance.string("lifecycle")));
     }
 
     private static EndpointState parseState(String lifecycle) {
--- a/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -32,13 +32,13 @@
     }
 
     /** Returns the string in a required field. */
-    public String text(String name) {
+    public String string(String name) {
         return requiredField(name, String.class, "a string");
     }
 
     /** Returns the string in a field, or {@code defaultValue} if the field is absent. */
-    public String textOr(String name, String defaultValue) {
-        return has(name) ? text(name) : defaultValue;
+    public String stringOr(String name, String defaultValue) {
+        return has(name) ? string(name) : defaultValue;
     }
 
     /** Returns the number in a required field, without its fraction. */
@@ -81,14 +81,14 @@
     }
 
     /** Returns the elements of an array as strings, or an empty list if the field is absent. */
-    public List<String> textsOrNone(String name) {
-        List<String> texts = new ArrayList<>();
+    public List<String> stringsOrEmpty(String name) {
+        List<String> strings = new ArrayList<>();
         if (has(name)) {
             for (Object element : list(name)) {
-                texts.add(String.valueOf(element));
+                strings.add(String.valueOf(element));
             }
         }
-        return texts;
+        return strings;
     }
 
     private List<?> list(String name) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -27,7 +27,7 @@
     private final UpstreamCallListener listener;
 
     private long startedMicros;
-    /** 0 until {@link #recordEnd} is called. */
+    /** 0 until {@link #recordEndTime} is called. */
     private long endedMicros;
     /** Null until the call is started. */
     private UpstreamEndpoint endpoint;
@@ -86,13 +86,13 @@
         return startedMicros;
     }
 
-    /** Returns when the call ended, or 0 before {@link #recordEnd} is called. */
+    /** Returns when the call ended, or 0 before {@link #recordEndTime} is called. */
     public long endedMicros() {
         return endedMicros;
     }
 
     /** Records when the call ended. The time is used only in the log. */
-    public void recordEnd(long timeMicros) {
+    public void recordEndTime(long timeMicros) {
         endedMicros = timeMicros;
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Ends the call as {@link AttemptOutcome#NOT_SENT} without starting it. */
-    public void endUnsent(long nowMicros) {
+    public void endAsNotSent(long nowMicros) {
         startedMicros = nowMicros;
         end(AttemptOutcome.NOT_SENT);
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -92,8 +92,8 @@
     }
 
     /** Returns the number of connections that are open or being opened. */
-    public int openConnections() {
-        return connector.openConnections();
+    public int openConnectionCount() {
+        return connector.openConnectionCount();
     }
 
     /** Closes the idle connections to one endpoint. Keeps the connections that are in use or being opened. */
@@ -132,13 +132,13 @@
         long now = clock.nowMicros();
         UpstreamEndpoint endpoint = endpoints.get(call.endpointId());
         if (endpoint == null || !endpoint.isReady()) {
-            call.endUnsent(now);
+            call.endAsNotSent(now);
             return;
         }
         long timeoutMicros = call.deadlineMicros() - now;
         call.start(now, endpoint, nettyEventLoop.schedule(call::onDeadline, timeoutMicros, TimeUnit.MICROSECONDS));
         // Data that is still unread may end the call, change the state of its endpoint or close an idle connection.
-        eventLoop.afterPendingReads(() -> assignConnection(call));
+        eventLoop.runAfterPendingReads(() -> assignConnection(call));
     }
 
     private void assignConnection(UpstreamCall call) {
@@ -180,7 +180,7 @@
             } else if (!connected.isSuccess()) {
                 call.onConnectionLost();
             } else {
-                eventLoop.afterPendingReads(() -> writeIfSendable(call, channel));
+                eventLoop.runAfterPendingReads(() -> writeIfSendable(call, channel));
             }
         });
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
@@ -23,7 +23,7 @@
 
     private final TrafficStatistics statistics;
     private long stallTimeoutMicros;
-    private int openConnections;
+    private int openConnectionCount;
 
     UpstreamConnector(EventLoop loop, IntSupplier maxConnections, TrafficStatistics statistics) {
         this.maxConnections = maxConnections;
@@ -41,26 +41,26 @@
                 ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeouts.connectTimeoutMicros() / 1000));
     }
 
-    int openConnections() {
-        return openConnections;
+    int openConnectionCount() {
+        return openConnectionCount;
     }
 
     /** Returns whether one more connection may be opened. */
     boolean canOpenConnection() {
-        return openConnections < maxConnections.getAsInt();
+        return openConnectionCount < maxConnections.getAsInt();
     }
 
     ChannelFuture connect(InetSocketAddress address) {
-        openConnections++;
+        openConnectionCount++;
         statistics.upstreamConnectionOpened();
         ChannelFuture connectFuture = bootstrap.connect(address);
         connectFuture.addListener(connected -> {
             if (connected.isSuccess()) {
-                connectFuture.channel().closeFuture().addListener(closed -> openConnections--);
+                connectFuture.channel().closeFuture().addListener(closed -> openConnectionCount--);
             } else {
                 // The close future may never complete here. If no file descriptor was free, there is no socket to
                 // close.
-                openConnections--;
+                openConnectionCount--;
             }
         });
         return connectFuture;
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -142,7 +142,7 @@
                 });
                 await("onAttemptOutcome " + completion + " NOT_SENT true");
             }
-            assertEquals(0, loop.submit(dispatcher::openRequests).get());
+            assertEquals(0, loop.submit(dispatcher::openRequestCount).get());
             loop.execute(() -> {
                 dispatcher.dispatch(exchange("next"));
                 dispatcher.sendAttempt("next", "u0", 0);
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -11,13 +11,13 @@
     void reportsLateLoopWithLongestTaskOfInterval() {
         MonotonicClock clock = new MonotonicClock();
         EventLoopMonitor monitor = new EventLoopMonitor(clock);
-        monitor.taskFinished("before the start", clock.nowMicros() - 900_000);
+        monitor.recordFinishedTask("before the start", clock.nowMicros() - 900_000);
         assertNull(monitor.checkLag(300_000));
         monitor.start();
-        monitor.taskFinished("short", clock.nowMicros() - 2_000);
+        monitor.recordFinishedTask("short", clock.nowMicros() - 2_000);
         assertNull(monitor.checkLag(100_000));
-        monitor.taskFinished("long", clock.nowMicros() - 500_000);
-        monitor.taskFinished("short", clock.nowMicros() - 2_000);
+        monitor.recordFinishedTask("long", clock.nowMicros() - 500_000);
+        monitor.recordFinishedTask("short", clock.nowMicros() - 2_000);
         String line = monitor.checkLag(300_000);
         assertTrue(line.startsWith("event_loop_late lag_millis=300 longest_task=\"long\" longest_task_millis=5"), line);
         assertNull(monitor.checkLag(300_000));
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
@@ -58,9 +58,10 @@
     }
 
     private static void assertConnectionsWithinLimit(SidecarFixture fixture, int descriptorLimit) throws Exception {
-        int openConnections = fixture.sidecar.openConnections();
+        int openConnectionCount = fixture.sidecar.openConnectionCount();
         assertTrue(
-                openConnections <= descriptorLimit - RESERVED_DESCRIPTORS, openConnections + " connections are open");
+                openConnectionCount <= descriptorLimit - RESERVED_DESCRIPTORS,
+                openConnectionCount + " connections are open");
     }
 
     private static void closeAll(List<StubServer.Client> clients) throws Exception {
--- a/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
@@ -28,7 +28,7 @@
                         .map(element -> element.number("i"))
                         .toList());
         assertFalse(json.flag("flag"));
-        assertEquals(List.of("p", "q"), json.textsOrNone("texts"));
+        assertEquals(List.of("p", "q"), json.stringsOrEmpty("texts"));
         assertEquals("2", json.flattened().get("list.count"));
     }
 
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -172,7 +172,7 @@
                 watchTimeouts,
                 backoff);
         if (warmUpInterrupt != null) {
-            sidecar.holdReadinessForWarmUp(warmUpInterrupt);
+            sidecar.delayReadinessForWarmUp(warmUpInterrupt);
         }
         sidecar.start();
         return this;
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -182,7 +182,7 @@
             silent.next();
             assertTrue(loop.submit(pool::closeOldestIdleConnection).get());
             assertEquals(-1, idle.accepted.take().getInputStream().read());
-            assertEquals(1, loop.submit(pool::openConnections).get());
+            assertEquals(1, loop.submit(pool::openConnectionCount).get());
             assertFalse(loop.submit(pool::closeOldestIdleConnection).get());
         }
     }
@@ -230,7 +230,7 @@
             update(pool, list(true, ready("u", server)));
             for (int i = 0; i < 5; i++) {
                 assertEquals("u OK", outcomeOfCall(pool, "u"));
-                while (loop.submit(pool::openConnections).get() > 0) {
+                while (loop.submit(pool::openConnectionCount).get() > 0) {
                     Thread.onSpinWait();
                 }
             }
