--- a/src/main/java/loadbalancer/input/InvalidSettingsException.java
+++ b/src/main/java/loadbalancer/input/InvalidSettingsException.java
@@ -1,8 +1,8 @@
 package loadbalancer.input;
 
 /**
- * Settings that can't be used because one of them is missing or malformed. The message is one line for the operator: it
- * names the setting by its path, says what is wrong with its value and what to do.
+ * Thrown if a setting is missing or malformed. The message is one line for the operator: it contains the path of the
+ * setting, the problem with its value, and the correction to make.
  */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -19,15 +19,15 @@
     }
 
     static InvalidSettingsException notANumber(String setting, String value) {
-        return new InvalidSettingsException(setting, "is no number: '" + value + "'", "write a decimal number");
+        return new InvalidSettingsException(setting, "is not a number: '" + value + "'", "write a decimal number");
     }
 
-    /** The value is none of the names that the setting may have; {@code names} lists those. */
+    /** Returns an exception for a value that is not one of {@code names}, the names that the setting may have. */
     static InvalidSettingsException unknownName(String setting, String value, String names) {
-        return new InvalidSettingsException(setting, "is unknown: '" + value + "'", "write one of " + names);
+        return new InvalidSettingsException(setting, "has an unknown value: '" + value + "'", "write one of " + names);
     }
 
-    /** The path of the setting that has to be corrected, for example {@code rules.drain_grace_us}. */
+    /** Returns the path of the invalid setting, for example {@code rules.drain_grace_us}. */
     public String setting() {
         return setting;
     }
--- a/src/main/java/loadbalancer/input/LoadReportFields.java
+++ b/src/main/java/loadbalancer/input/LoadReportFields.java
@@ -3,8 +3,8 @@
 import loadbalancer.decision.LoadReport;
 
 /**
- * Collects the values of one load report by their outside names and builds the report. The simulator and the endpoints'
- * HTTP header use different names for the same value; both are mapped here. Not thread-safe.
+ * Builds a load report from values with their external names. The simulator and the endpoints' HTTP header use
+ * different names for the same value; this class maps both. Not thread-safe.
  */
 public final class LoadReportFields {
     private double inFlight = LoadReport.NOT_REPORTED;
@@ -12,10 +12,10 @@
     private double utilization = LoadReport.NOT_REPORTED;
 
     /**
-     * Takes one value. A later value of the same meaning replaces an earlier one; unknown names are skipped.
+     * Sets a value, replacing any earlier one for the same field of the report. Ignores unknown names.
      *
-     * @param name the value's outside name
-     * @param value a count or ratio; negative if it is not reported
+     * @param name external name of the value
+     * @param value a count or ratio; negative if the endpoint does not report it
      */
     public void put(String name, double value) {
         switch (name) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** The report of the values so far; a value that was not put is negative. */
+    /** Returns a report with the values set so far; a value that has not been set is negative. */
     public LoadReport report() {
         return new LoadReport(inFlight, queued, utilization);
     }
--- a/src/main/java/loadbalancer/input/SettingValues.java
+++ b/src/main/java/loadbalancer/input/SettingValues.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed access to settings that are given as text by path. A value of {@code -} counts as an absent number. */
+/** Provides typed access to settings given as text by path. For numbers, the text {@code -} means an absent value. */
 final class SettingValues {
     private static final String ABSENT = "-";
 
@@ -22,13 +22,15 @@
         return value;
     }
 
-    String textOr(String path, String absent) {
-        return values.getOrDefault(path, absent);
+    String textOr(String path, String defaultValue) {
+        return values.getOrDefault(path, defaultValue);
     }
 
-    /** A list of names joined with commas; {@code absent}, in the same form, replaces an absent value. */
-    List<String> namesOr(String path, String absent) {
-        return Arrays.asList(textOr(path, absent).split(","));
+    /**
+     * Returns the names in a comma-separated list; {@code defaultValue}, in the same form, replaces an absent value.
+     */
+    List<String> namesOr(String path, String defaultValue) {
+        return Arrays.asList(textOr(path, defaultValue).split(","));
     }
 
     boolean hasText(String path, String expected) {
@@ -40,10 +42,10 @@
         return numberOr(path, 0);
     }
 
-    double numberOr(String path, double absent) {
+    double numberOr(String path, double defaultValue) {
         String value = values.get(path);
         if (value == null || value.equals(ABSENT)) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(value);
@@ -56,19 +58,19 @@
         return (int) number(path);
     }
 
-    int integerOr(String path, int absent) {
-        return (int) numberOr(path, absent);
+    int integerOr(String path, int defaultValue) {
+        return (int) numberOr(path, defaultValue);
     }
 
     long micros(String path) {
         return (long) number(path);
     }
 
-    long microsOr(String path, long absentMicros) {
-        return (long) numberOr(path, absentMicros);
+    long microsOr(String path, long defaultMicros) {
+        return (long) numberOr(path, defaultMicros);
     }
 
-    /** False where the setting is absent. */
+    /** Returns whether the setting is {@code true} or {@code 1}; false if it is absent. */
     boolean flag(String path) {
         String value = values.get(path);
         return value != null && (value.equals("true") || value.equals("1"));
--- a/src/main/java/loadbalancer/input/SettingsReader.java
+++ b/src/main/java/loadbalancer/input/SettingsReader.java
@@ -14,11 +14,11 @@
 import loadbalancer.settings.UsagePrices;
 
 /**
- * Reads settings from pairs of path and value, as they come from the configuration of a sidecar or on the simulator's
- * wire.
+ * Reads settings from pairs of path and value. The pairs come from the configuration of a sidecar or from the
+ * simulator's wire.
  *
- * <p>This class is the one place that maps the outside names of settings to the terms of the code. Unknown paths are
- * skipped, so that a configuration may hold settings of a newer version. Not thread-safe.
+ * <p>Only this class maps the external names of settings to the terms of the code. It ignores unknown paths, so that a
+ * configuration may contain settings of a newer version. Not thread-safe.
  */
 public final class SettingsReader {
     private static final long DEFAULT_CONNECTION_IDLE_TIMEOUT_MICROS = 15_000_000;
@@ -28,15 +28,15 @@
     private final SettingValues values;
 
     /**
-     * @param values values by path. A list of plain values is one value, joined with commas; a list of objects has its
-     *     length under {@code PATH.count} and its items under {@code PATH.0}, {@code PATH.1} and so on
+     * @param values values by path. A list of plain values is one comma-separated value; a list of objects has its
+     *     length at {@code PATH.count} and its items at {@code PATH.0}, {@code PATH.1} and so on
      */
     public SettingsReader(Map<String, String> values) {
         this.values = new SettingValues(values);
     }
 
     /**
-     * Reads all settings. Their ranges are not checked.
+     * Reads all settings without checking their ranges.
      *
      * @throws InvalidSettingsException if a setting is missing or malformed
      */
@@ -64,7 +64,7 @@
                 values.microsOr("period_us", DEFAULT_CLOCK_TICK_MICROS));
     }
 
-    /** Names of the values of a load report, in the order in which the simulator's reports list them. */
+    /** Returns the names of the values in a load report, in the order of the values in the simulator's reports. */
     public List<String> loadReportFieldNames() {
         return values.namesOr("load_info.fields", "");
     }
@@ -163,7 +163,10 @@
         };
     }
 
-    /** An absent or unknown name means that endpoints send no load reports; the module works without them. */
+    /**
+     * Returns {@link LoadReporting#NONE} if the name is absent or unknown; the decision module works without load
+     * reports.
+     */
     private LoadReporting loadReporting(String path) {
         return switch (values.textOr(path, "off")) {
             case "inline" -> LoadReporting.INLINE;
--- a/src/main/java/loadbalancer/settings/DeduplicationScope.java
+++ b/src/main/java/loadbalancer/settings/DeduplicationScope.java
@@ -1,14 +1,14 @@
 package loadbalancer.settings;
 
 /**
- * Which endpoints share one store of idempotency keys. A retry of a request that may have run is safe only on an
- * endpoint in the same scope as the one that may have run it, because only that scope drops the repeated key.
+ * The set of endpoints that share one store of idempotency keys. If an attempt may have run, a retry is safe only on an
+ * endpoint of the same scope, because only endpoints of that scope recognize the repeated key.
  */
 public enum DeduplicationScope {
-    /** Every endpoint. */
+    /** All endpoints share one store. */
     ALL,
-    /** The endpoints of one zone. */
+    /** The endpoints of each zone share one store. */
     ZONE,
-    /** The endpoints of one cell. */
+    /** The endpoints of each cell share one store. */
     CELL
 }
--- a/src/main/java/loadbalancer/settings/Idempotency.java
+++ b/src/main/java/loadbalancer/settings/Idempotency.java
@@ -1,11 +1,11 @@
 package loadbalancer.settings;
 
-/** Whether a request may be run more than once. */
+/** Defines whether a request may run more than once. */
 public enum Idempotency {
-    /** It may be retried at any endpoint at any time. */
+    /** The request may be retried on any endpoint at any time. */
     IDEMPOTENT,
-    /** It may be retried within its {@link DeduplicationScope} and deduplication window. */
+    /** The request may be retried within its {@link DeduplicationScope} and deduplication window. */
     IDEMPOTENT_WITH_KEY,
-    /** It may be retried only if every earlier attempt provably never ran. */
+    /** The request may be retried only if it is certain that no earlier attempt has run. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * All settings of one sidecar, in force from its start or from a reload. The lists must not be modified.
+ * All settings of one sidecar. They take effect at its start or at a configuration reload. The lists must not be
+ * modified.
  *
- * @param sidecarIndex number of this sidecar among all, from 0; used to make sidecars choose different endpoints and
- *     turns
- * @param sidecarCount number of all sidecars that share the endpoints, 1 or more
+ * @param sidecarIndex index of this sidecar among all sidecars, from 0; used so that sidecars choose different endpoint
+ *     subsets and different times for their requests to an endpoint in slow start
+ * @param sidecarCount number of sidecars that share the endpoints, 1 or more
  * @param zone the local zone
  * @param zones names of all zones
  * @param machineTypes names of the machine types that endpoints may have
- * @param requestClasses the classes of requests, one or more with unique names
- * @param tenants tenants with a share of the service; empty if requests carry no tenant
- * @param limits what the site permits for a request
- * @param rules rules for starting and leaving endpoints
+ * @param requestClasses the request classes, at least one, with unique names
+ * @param tenants tenants with a reserved fraction of the capacity; empty if requests carry no tenant
+ * @param limits limits on attempts, connections and optional mechanisms
+ * @param rules rules for endpoints that are in slow start, draining or removed
  * @param loadReporting when endpoints report their load
- * @param polledDiscovery whether the module has to poll for endpoint lists; otherwise discovery pushes changes. A
- *     reload can't change it
- * @param weightByWork whether the value of a request also grows with its work; no rule uses it
- * @param overQuotaWeight part of the priority weight that remains for a request beyond its tenant's quota; no rule uses
- *     it
- * @param prices prices of what the sidecars use
- * @param clockTickMicros shortest time between two calls of the module
+ * @param polledDiscovery whether the decision module has to poll discovery for endpoint lists; if false, discovery
+ *     pushes changes. A reload can't change this value
+ * @param weightByWork whether the priority weight of a request also grows with its work; no rule uses this value
+ * @param overQuotaWeight fraction of the priority weight that a request beyond its tenant's quota keeps; no rule uses
+ *     this value
+ * @param prices prices of the resources that the sidecars use
+ * @param clockTickMicros shortest time between two calls of the decision module
  */
 public record LoadBalancerSettings(
         int sidecarIndex,
--- a/src/main/java/loadbalancer/settings/LoadReporting.java
+++ b/src/main/java/loadbalancer/settings/LoadReporting.java
@@ -1,6 +1,6 @@
 package loadbalancer.settings;
 
-/** When endpoints report their load. */
+/** Defines when endpoints send load reports. */
 public enum LoadReporting {
     /** Never: load is estimated from the sidecar's own requests and from gossip. */
     NONE,
--- a/src/main/java/loadbalancer/settings/RequestClass.java
+++ b/src/main/java/loadbalancer/settings/RequestClass.java
@@ -1,19 +1,23 @@
 package loadbalancer.settings;
 
 /**
- * A class of requests that are handled by the same rules. Each request names its class.
+ * Settings of a request class. Each request carries the name of its class.
  *
- * @param name unique among the classes
- * @param idempotency whether a request may be run more than once
- * @param deduplicationScope which endpoints drop repeats of a key; used only with
+ * @param name name of the class, unique among the request classes
+ * @param idempotency whether a request of this class may run more than once
+ * @param deduplicationScope set of endpoints that recognize a repeated idempotency key; used only with
  *     {@link Idempotency#IDEMPOTENT_WITH_KEY}
- * @param deduplicationWindowMicros how long a key is remembered, from the send of the first attempt that may have run
- * @param latencyObjectiveMicros a response within this time has the full priority weight
- * @param latencyObjectiveWorkRatio if positive, the objective grows by this many times the request's own work
- * @param deadlineMicros longest time that clients of this class wait; a single request may allow less
- * @param priorityWeight value of a request against those of other classes; where load is shed, low weights go first
- * @param lateWeight part of the priority weight, 0 to 1, of a response between the objective and the deadline
- * @param streaming whether responses are streamed: once a stream has started there is no further attempt
+ * @param deduplicationWindowMicros time for which endpoints store an idempotency key, measured from the sending of the
+ *     first attempt that may have run
+ * @param latencyObjectiveMicros latency objective; a response within this time counts with the full priority weight
+ * @param latencyObjectiveWorkRatio if positive, this ratio times the work of the request is added to the latency
+ *     objective
+ * @param deadlineMicros longest time that clients wait for a response; a single request may specify a shorter time
+ * @param priorityWeight value of a request relative to requests of other classes; load shedding rejects requests with
+ *     low weights first
+ * @param lateWeight fraction of the priority weight, 0 to 1, with which a response between the latency objective and
+ *     the deadline counts
+ * @param streaming whether responses are streamed; no further attempt is sent once a response stream has started
  */
 public record RequestClass(
         String name,
--- a/src/main/java/loadbalancer/settings/RequestLimits.java
+++ b/src/main/java/loadbalancer/settings/RequestLimits.java
@@ -1,18 +1,21 @@
 package loadbalancer.settings;
 
 /**
- * What the site permits a sidecar to do for a request, and its limits on connections.
+ * Limits on attempts and connections, and the optional mechanisms that a sidecar may use.
  *
- * @param maxAttempts most attempts of one request, 1 or more
- * @param hedging whether a request may have two attempts in flight
- * @param cancellation whether attempts may be cancelled; no rule uses it, the module cancels none
- * @param healthChecks whether endpoints may be asked for load reports
+ * @param maxAttempts maximum number of attempts for a request, 1 or more
+ * @param hedging whether a request may have two attempts in flight at the same time
+ * @param cancellation whether attempts may be cancelled; no rule uses this value, and the decision module cancels no
+ *     attempt
+ * @param healthChecks whether the sidecar may request load reports from endpoints by health checks
  * @param gossip whether sidecars may send messages to one another
- * @param retryAfter whether rejections tell clients after which time to retry
- * @param maxRetryAfterMicros longest Retry-After time that clients respect
- * @param connectionIdleTimeoutMicros connections without a request are closed after this time
- * @param connectTimeoutMicros an attempt that needs a new connection reaches its endpoint at most this much later
- * @param cpuMicrosPerRequest limit on the sidecar's processor time for a request; 0 if there is none; no rule uses it
+ * @param retryAfter whether rejections may carry a Retry-After time
+ * @param maxRetryAfterMicros longest Retry-After time that clients honor
+ * @param connectionIdleTimeoutMicros time after which a connection without a request is closed
+ * @param connectTimeoutMicros maximum time for opening a connection; delays an attempt that needs a new connection by
+ *     at most this time
+ * @param cpuMicrosPerRequest limit on the sidecar's processor time per request; 0 if there is no limit; no rule uses
+ *     this value
  */
 public record RequestLimits(
         int maxAttempts,
--- a/src/main/java/loadbalancer/settings/package-info.java
+++ b/src/main/java/loadbalancer/settings/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The settings of one sidecar as immutable values. Owns their types and units and nothing else:
- * {@code loadbalancer.input} reads them, {@code loadbalancer.proxy.configuration} checks them before a reload, and the
- * rules that use them are in {@code loadbalancer.decision}. Depends on no other package.
+ * The settings of one sidecar as immutable values. This package defines only their types and units:
+ * {@code loadbalancer.input} reads the settings, {@code loadbalancer.proxy.configuration} validates them before a
+ * reload, and {@code loadbalancer.decision} contains the rules that use them. It depends on no other package of the
+ * project.
  *
- * <p>Some settings describe the site without any rule that uses them yet; their Javadoc says so.
+ * <p>No rule uses some of the settings yet; the Javadoc of each of them says so.
  */
 package loadbalancer.settings;
--- a/src/test/java/loadbalancer/input/SettingsReaderTest.java
+++ b/src/test/java/loadbalancer/input/SettingsReaderTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Settings are read by their outside names; what is missing or malformed is named. */
+/** Verifies that settings are read by their external names, and that errors name the missing or malformed setting. */
 class SettingsReaderTest {
     private final Map<String, String> values = new HashMap<>(Map.ofEntries(
             Map.entry("me", "3"),
@@ -37,14 +37,14 @@
         return new SettingsReader(values).read();
     }
 
-    private void assertInvalid(String setting, String message) {
+    private void assertInvalid(String setting, String expectedMessage) {
         InvalidSettingsException exception = assertThrows(InvalidSettingsException.class, this::read);
         assertEquals(setting, exception.setting());
-        assertEquals(message, exception.getMessage());
+        assertEquals(expectedMessage, exception.getMessage());
     }
 
     @Test
-    void absentSettingsHaveDefaults() {
+    void usesDefaultsForAbsentSettings() {
         LoadBalancerSettings settings = read();
         assertEquals(3, settings.sidecarIndex());
         assertEquals(9, settings.sidecarCount());
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void outsideNamesAreMapped() {
+    void mapsExternalNames() {
         values.putAll(Map.of(
                 "azs", "za,zb",
                 "discovery", "on_request",
@@ -98,22 +98,22 @@
     }
 
     @Test
-    void missingSettingIsNamed() {
+    void namesMissingSetting() {
         values.remove("rules.cold_share");
         assertInvalid("rules.cold_share", "setting 'rules.cold_share' is missing; add it to the settings");
     }
 
     @Test
-    void malformedNumberIsNamed() {
+    void namesMalformedNumber() {
         values.put("rules.fall_us", "1s");
-        assertInvalid("rules.fall_us", "setting 'rules.fall_us' is no number: '1s'; write a decimal number");
+        assertInvalid("rules.fall_us", "setting 'rules.fall_us' is not a number: '1s'; write a decimal number");
     }
 
     @Test
-    void unknownNameIsAnsweredWithThoseThatMayStandThere() {
+    void listsPermittedNamesForUnknownName() {
         values.put("profiles.0.semantics", "maybe");
         assertInvalid(
                 "profiles.0.semantics",
-                "setting 'profiles.0.semantics' is unknown: 'maybe'; write one of safe, keyed, unsafe");
+                "setting 'profiles.0.semantics' has an unknown value: 'maybe'; write one of safe, keyed, unsafe");
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -78,7 +78,7 @@
             {"\"cold_share\":0.2", "\"cold_share\":0", "'rules'"},
             {"\"max_attempts\":4", "\"max_attempts\":0", "'limits'"},
             {"\"discovery\":\"on_request\"", "\"discovery\":\"pushed\"", "'discovery'"},
-            {"\"fall_multiple\":3", "\"fall_multiple\":\"three\"", "no number"},
+            {"\"fall_multiple\":3", "\"fall_multiple\":\"three\"", "not a number"},
         };
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.upstream(StubServer.echoingRequestId());
