--- a/src/main/java/loadbalancer/settings/package-info.java
+++ b/src/main/java/loadbalancer/settings/package-info.java
@@ -4,6 +4,6 @@
  * reload, and {@code loadbalancer.decision} contains the rules that use them. It depends on no other package of the
  * project.
  *
- * <p>No rule uses some of the settings yet; the Javadoc of each of them says so.
+ * <p>Some settings are not used by any rule yet; their Javadoc says so.
  */
 package loadbalancer.settings;
--- a/src/main/java/loadbalancer/simulation/CsvRows.java
+++ b/src/main/java/loadbalancer/simulation/CsvRows.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Measured values as CSV, one row each, in the order in which they were added. */
+/** Collects measured values and formats them as CSV, with one row per value in the order in which they were added. */
 final class CsvRows {
     private static final String HEADER = "measure,sidecars,servers,value,unit,how";
 
     private final List<String> rows = new ArrayList<>();
 
-    /** What a value was measured on. */
+    /** The system on which a value was measured. */
     enum Source {
-        /** A real decision module alone. */
+        /** A single real decision module. */
         MODULE("module"),
         /** A simulated fleet. */
         FLEET("model");
@@ -24,13 +24,13 @@
         }
     }
 
-    void add(String measure, FleetShape shape, double value, String unit, Source source) {
+    void add(String measure, FleetParameters parameters, double value, String unit, Source source) {
         rows.add(String.format(
                 Locale.ROOT,
                 "%s,%d,%d,%.4g,%s,%s",
                 measure,
-                shape.sidecarCount(),
-                shape.endpointCount(),
+                parameters.sidecarCount(),
+                parameters.endpointCount(),
                 value,
                 unit,
                 source.csvName));
--- a/src/main/java/loadbalancer/simulation/EventQueue.java
+++ b/src/main/java/loadbalancer/simulation/EventQueue.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * A virtual clock and the events scheduled on it. Events run in the order of their time and, at the same time, in the
- * order in which they were scheduled, so that a simulation is deterministic. Not thread-safe.
+ * A virtual clock and the events scheduled on it. Events run in the order of their times; events with the same time run
+ * in the order in which they were scheduled. A simulation is therefore deterministic. Not thread-safe.
  */
 final class EventQueue {
     private record Event(long atMicros, long sequence, Runnable action) implements Comparable<Event> {
@@ -24,26 +24,26 @@
         nowMicros = startMicros;
     }
 
-    /** The present time, which only moves forward. */
+    /** Returns the current virtual time, which never decreases. */
     long nowMicros() {
         return nowMicros;
     }
 
-    /** Runs the action after the delay; a negative delay counts as none. */
+    /** Schedules the action to run after the delay; a negative delay counts as 0. */
     void schedule(long delayMicros, Runnable action) {
         events.add(new Event(nowMicros + Math.max(0, delayMicros), scheduledCount++, action));
     }
 
-    /** Runs all events up to and including this time; returns how many. */
+    /** Runs all events up to and including this time and returns their number. */
     long runUntil(long untilMicros) {
-        long count = 0;
+        long eventCount = 0;
         while (!events.isEmpty() && events.peek().atMicros <= untilMicros) {
             Event event = events.poll();
             nowMicros = event.atMicros;
             event.action.run();
-            count++;
+            eventCount++;
         }
         nowMicros = untilMicros;
-        return count;
+        return eventCount;
     }
 }
--- a/src/main/java/loadbalancer/simulation/FleetShape.java
+++ b/src/main/java/loadbalancer/simulation/FleetParameters.java
@@ -6,26 +6,28 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * The parameters of a simulated fleet. The same parameters give the same history.
+ * The parameters of a simulated fleet. Simulations with the same parameters produce the same events.
  *
- * @param sidecarCount 1 or more
- * @param endpointCount 1 or more; each has {@link #CORES_PER_ENDPOINT} cores
- * @param utilization rate of requests of all sidecars together, as a part of the endpoints' full capacity
- * @param unevenness each of the busiest tenth of the sidecars gets this many times the mean rate; 1 for equal rates
- * @param maxNotificationDelayMicros a change of the endpoint list reaches each sidecar after a random time up to this
- * @param gossipLossRatio part of the gossip messages that never arrive, 0 to 1
- * @param seed seed of all random draws
+ * @param sidecarCount number of sidecars, 1 or more
+ * @param endpointCount number of endpoints, 1 or more; each has {@link #CORES_PER_ENDPOINT} cores
+ * @param utilization request rate of all sidecars together, as a fraction of the endpoints' full capacity
+ * @param busyRateRatio request rate of each busy sidecar, divided by the mean rate of all sidecars; a tenth of the
+ *     sidecars are busy, and with 1 all rates are equal
+ * @param maxNotificationDelayMicros maximum of the random delay after which a sidecar is notified of a change of the
+ *     endpoint list
+ * @param gossipLossRatio fraction of the gossip messages that are lost, 0 to 1
+ * @param seed seed of the random number generators
  */
-record FleetShape(
+record FleetParameters(
         int sidecarCount,
         int endpointCount,
         double utilization,
-        double unevenness,
+        double busyRateRatio,
         long maxNotificationDelayMicros,
         double gossipLossRatio,
         long seed) {
     static final int CORES_PER_ENDPOINT = 2;
-    /** Mean work of a request on one core; exponentially distributed. */
+    /** Mean work of a request on one core; the work is exponentially distributed. */
     static final double MEAN_WORK_MICROS = 80_000;
 
     static final double SLOW_START_INITIAL_RATIO = 0.2;
@@ -36,31 +38,31 @@
 
     static final String ZONE = "za";
     static final String MACHINE_TYPE = "k";
-    /** The request class of the higher priority weight, with an idempotency key. */
+    /** Name of the request class with the higher priority weight; its requests have idempotency keys. */
     static final String SUBMIT_CLASS = "submit";
-    /** The request class of the lower priority weight, not idempotent. */
+    /** Name of the request class with the lower priority weight; its requests are not idempotent. */
     static final String ISSUE_CLASS = "issue";
 
-    /** Requests a second that all endpoints can serve outside slow start. */
+    /** Returns the requests per second that all endpoints together can serve outside slow start. */
     double capacityPerSecond() {
         return endpointCount * CORES_PER_ENDPOINT * 1e6 / MEAN_WORK_MICROS;
     }
 
-    /** Requests a second of all sidecars. */
+    /** Returns the requests per second of all sidecars together. */
     double requestsPerSecond() {
         return utilization * capacityPerSecond();
     }
 
-    /** Requests a second of this sidecar; every tenth sidecar is busy. */
+    /** Returns the requests per second of this sidecar; every tenth sidecar is busy. */
     double requestsPerSecond(int sidecarIndex) {
         boolean busy = sidecarIndex % 10 == 0;
         int busyCount = (sidecarCount + 9) / 10;
-        double mean = requestsPerSecond() / sidecarCount;
-        double otherMultiple = (sidecarCount - unevenness * busyCount) / Math.max(1, sidecarCount - busyCount);
-        return mean * (busy ? unevenness : otherMultiple);
+        double meanRate = requestsPerSecond() / sidecarCount;
+        double otherRateRatio = (sidecarCount - busyRateRatio * busyCount) / Math.max(1, sidecarCount - busyCount);
+        return meanRate * (busy ? busyRateRatio : otherRateRatio);
     }
 
-    /** The settings of one sidecar, read from text as a real sidecar reads its configuration. */
+    /** Returns the settings of one sidecar, read from text in the same way as the configuration of a real sidecar. */
     LoadBalancerSettings settings(int sidecarIndex) {
         Map<String, String> values = new HashMap<>();
         values.put("me", "" + sidecarIndex);
--- a/src/main/java/loadbalancer/simulation/NoOpActions.java
+++ b/src/main/java/loadbalancer/simulation/NoOpActions.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.decision.LoadBalancerActions;
 
-/** Ignores every action. Subclasses override those that their model reacts to. */
+/** Ignores every action. Subclasses override the methods of the actions that they handle. */
 class NoOpActions implements LoadBalancerActions {
     @Override
     public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {}
--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -15,32 +15,33 @@
 import loadbalancer.decision.Request;
 
 /**
- * Measures one decision module as it would run in a fleet of a given size: processor time of each kind of event, and
- * heap. The module is the real one, warmed up, with gossip of other modules. Times are processor times of the calling
- * thread in microseconds, the clock's own cost included ({@link #clockMicros}).
+ * Measures one decision module as it would run in a fleet of a given size: the processor time for each type of event,
+ * and the heap. The module is a real one that is warmed up and has received gossip of other modules. Times are
+ * processor times of the calling thread in microseconds and include the cost of reading the clock
+ * ({@link #clockMicros}).
  */
 final class PolicyCosts {
-    /** Batches of runs; the result is the median of their means. */
+    /** Number of batches of runs; the result is the median of the batch means. */
     private static final int BATCH_COUNT = 15;
-    /** Attempts in flight while the module is measured. */
-    private static final int IN_FLIGHT = 20;
-    /** Modules created to measure the heap; the mean over the second half reduces the error of a reading. */
+    /** Number of attempts in flight while the module is measured. */
+    private static final int IN_FLIGHT_COUNT = 20;
+    /** Number of modules created to measure the heap; the mean over the second half reduces the error of a reading. */
     private static final int HEAP_MODULE_COUNT = 20;
-    /** Requests a second of the measured module: 180,000 over 2,400 sidecars. */
+    /** Request rate of the measured module: 180,000 requests per second over 2,400 sidecars. */
     private static final int REQUESTS_PER_SECOND = 75;
 
     private static final int WARM_UP_REQUESTS = 3_000;
     private static final int GOSSIP_EVERY_REQUESTS = 50;
-    /** The module solves its routing weights again after this time. */
-    private static final long RESOLVE_INTERVAL_MICROS = 100_000;
+    /** Time after which the module recomputes its routing weights. */
+    private static final long RECOMPUTE_INTERVAL_MICROS = 100_000;
 
     private static final double UTILIZATION = 0.6;
-    /** Name of the module's timer that sends gossip. */
+    /** Name of the module's timer for sending gossip. */
     private static final String GOSSIP_TIMER = "gossip";
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final SplittableRandom random = new SplittableRandom(7);
-    private final FleetShape shape;
+    private final FleetParameters parameters;
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final List<byte[]> gossipMessages = new ArrayList<>();
     private final List<SentAttempt> inFlight = new ArrayList<>();
@@ -51,7 +52,7 @@
 
     private record SentAttempt(String requestId, String endpointId) {}
 
-    /** Remembers the attempts of the measured module, so that their outcomes can be reported. */
+    /** Records the attempts of a decision module, so that their outcomes can be reported. */
     private class AttemptRecorder extends NoOpActions {
         @Override
         public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
@@ -61,14 +62,16 @@
 
     PolicyCosts(int sidecarCount, int endpointCount) {
         usedHeapBytes();
-        shape = new FleetShape(sidecarCount, endpointCount, UTILIZATION, 1, 0, 0, 1);
+        parameters = new FleetParameters(sidecarCount, endpointCount, UTILIZATION, 1, 0, 0, 1);
         for (int i = 0; i < endpointCount; i++) {
-            endpoints.add(
-                    new Endpoint("s" + i, FleetShape.ZONE, FleetShape.MACHINE_TYPE, i % 8, 0, 1, EndpointState.READY));
+            endpoints.add(new Endpoint(
+                    "s" + i, FleetParameters.ZONE, FleetParameters.MACHINE_TYPE, i % 8, 0, 1, EndpointState.READY));
         }
         collectGossip();
         List<LoadBalancingPolicy> policies = new ArrayList<>();
-        // The first half also loads what all modules share, and garbage from before is collected meanwhile.
+        // The first half is not measured: it also loads the classes and data that all modules share, and garbage of
+        // earlier
+        // work is collected in the meantime.
         addPolicies(policies, HEAP_MODULE_COUNT / 2);
         long firstHalfBytes = usedHeapBytes();
         addPolicies(policies, HEAP_MODULE_COUNT / 2);
@@ -84,15 +87,16 @@
     }
 
     private LoadBalancingPolicy newPolicy() {
-        LoadBalancingPolicy created = new LoadBalancingPolicy(shape.settings(0), 1, nowMicros, new AttemptRecorder());
+        LoadBalancingPolicy created =
+                new LoadBalancingPolicy(parameters.settings(0), 1, nowMicros, new AttemptRecorder());
         created.onEndpointList(nowMicros, EndpointListType.FULL, endpoints);
-        for (int sender = 1; sender < shape.sidecarCount(); sender++) {
-            created.onGossip(nowMicros, sender, gossipMessages.get(sender % gossipMessages.size()));
+        for (int senderIndex = 1; senderIndex < parameters.sidecarCount(); senderIndex++) {
+            created.onGossip(nowMicros, senderIndex, gossipMessages.get(senderIndex % gossipMessages.size()));
         }
         return created;
     }
 
-    /** Collects gossip of another module of the same fleet. */
+    /** Records gossip messages of another module of the same fleet. */
     private void collectGossip() {
         AttemptRecorder actions = new AttemptRecorder() {
             @Override
@@ -100,53 +104,56 @@
                 gossipMessages.add(message);
             }
         };
-        int sidecarIndex = Math.min(1, shape.sidecarCount() - 1);
-        LoadBalancingPolicy other = new LoadBalancingPolicy(shape.settings(sidecarIndex), 2, nowMicros, actions);
+        int sidecarIndex = Math.min(1, parameters.sidecarCount() - 1);
+        LoadBalancingPolicy other = new LoadBalancingPolicy(parameters.settings(sidecarIndex), 2, nowMicros, actions);
         other.onEndpointList(nowMicros, EndpointListType.FULL, endpoints);
         for (int i = 1; i <= 200; i++) {
-            other.onRequest(nowMicros + i * 13_000L, newRequest("o" + i, FleetShape.SUBMIT_CLASS));
+            other.onRequest(nowMicros + i * 13_000L, newRequest("o" + i, FleetParameters.SUBMIT_CLASS));
         }
         other.onTimer(nowMicros + 2_700_000, GOSSIP_TIMER);
     }
 
     private void warmUp() {
-        for (int i = 0; i < IN_FLIGHT; i++) {
-            request();
+        for (int i = 0; i < IN_FLIGHT_COUNT; i++) {
+            sendRequest();
         }
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
             nowMicros += 1_000_000 / REQUESTS_PER_SECOND;
-            request();
-            outcome();
+            sendRequest();
+            reportOutcome();
             if (i % GOSSIP_EVERY_REQUESTS == 0) {
                 policy.onTimer(nowMicros, GOSSIP_TIMER);
             }
         }
     }
 
-    /** The least of several readings, since some are taken before the garbage collector has freed everything. */
+    /**
+     * Returns the minimum of several readings, since the garbage collector may not have freed all garbage before each.
+     */
     private static long usedHeapBytes() {
-        long least = Long.MAX_VALUE;
+        long minimumBytes = Long.MAX_VALUE;
         for (int i = 0; i < 5; i++) {
             System.gc();
-            least = Math.min(
-                    least,
+            minimumBytes = Math.min(
+                    minimumBytes,
                     Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
         }
-        return least;
+        return minimumBytes;
     }
 
     private static Request newRequest(String id, String requestClass) {
-        return new Request(id, Request.NO_ROUTING_KEY, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass);
+        return new Request(
+                id, Request.NO_ROUTING_KEY, false, false, 0, FleetParameters.DEADLINE_MICROS, null, requestClass);
     }
 
-    private void request() {
+    private void sendRequest() {
         String id = "r" + requests++;
-        String requestClass = requests % 10 < 7 ? FleetShape.SUBMIT_CLASS : FleetShape.ISSUE_CLASS;
+        String requestClass = requests % 10 < 7 ? FleetParameters.SUBMIT_CLASS : FleetParameters.ISSUE_CLASS;
         policy.onRequest(nowMicros, newRequest(id, requestClass));
     }
 
-    /** Reports the outcome of a random attempt in flight, so that their number stays the same. */
-    private void outcome() {
+    /** Reports the outcome of a random attempt in flight, so that the number of attempts in flight stays constant. */
+    private void reportOutcome() {
         if (inFlight.isEmpty()) {
             return;
         }
@@ -156,13 +163,13 @@
                 0,
                 attempt.endpointId,
                 AttemptOutcome.OK,
-                (long) FleetShape.MEAN_WORK_MICROS,
+                (long) FleetParameters.MEAN_WORK_MICROS,
                 true,
                 null);
         policy.onAttemptOutcome(nowMicros, result);
     }
 
-    /** The median over the batches of the mean processor time of one run of {@code measured}. */
+    /** Returns the median of the batch means of the processor time of one run of {@code measured}. */
     private double medianMicros(int runsPerBatch, Runnable preparation, Runnable measured) {
         double[] batchMicros = new double[BATCH_COUNT];
         for (int batch = 0; batch < BATCH_COUNT; batch++) {
@@ -183,42 +190,43 @@
         nowMicros += micros;
     }
 
-    private void outcomeAndAdvance(long micros) {
-        outcome();
+    private void reportOutcomeAndAdvance(long micros) {
+        reportOutcome();
         advance(micros);
     }
 
-    /** The cost of reading the clock, which has to be subtracted from the other times. */
+    /** Returns the time for reading the clock, which must be subtracted from the other times. */
     double clockMicros() {
         return medianMicros(200, () -> {}, () -> {});
     }
 
-    /** A request that finds the routing weights recent. */
+    /** Returns the time for a request that uses the existing routing weights. */
     double requestMicros() {
-        return medianMicros(20, () -> outcomeAndAdvance(1_000), this::request);
+        return medianMicros(20, () -> reportOutcomeAndAdvance(1_000), this::sendRequest);
     }
 
     /**
-     * A request that finds the routing weights old and has them solved again, which happens ten times a second at most.
+     * Returns the time for a request that finds the routing weights outdated, so that they are recomputed. This happens
+     * at most ten times per second.
      */
-    double resolveMicros() {
-        return medianMicros(20, () -> outcomeAndAdvance(RESOLVE_INTERVAL_MICROS), this::request);
+    double requestWithRecomputeMicros() {
+        return medianMicros(20, () -> reportOutcomeAndAdvance(RECOMPUTE_INTERVAL_MICROS), this::sendRequest);
     }
 
     double outcomeMicros() {
-        return medianMicros(20, this::request, this::outcome);
+        return medianMicros(20, this::sendRequest, this::reportOutcome);
     }
 
-    /** One gossip message received, each from another sidecar than the one before. */
+    /** Returns the time for receiving a gossip message; consecutive messages come from different sidecars. */
     double gossipMicros() {
-        int[] sender = new int[1];
+        int[] senderIndex = new int[1];
         return medianMicros(
                 200,
-                () -> sender[0] = 1 + sender[0] % (shape.sidecarCount() - 1),
-                () -> policy.onGossip(nowMicros, sender[0], gossipMessages.get(0)));
+                () -> senderIndex[0] = 1 + senderIndex[0] % (parameters.sidecarCount() - 1),
+                () -> policy.onGossip(nowMicros, senderIndex[0], gossipMessages.get(0)));
     }
 
-    /** An endpoint list with one changed entry. */
+    /** Returns the time for an endpoint list that contains one changed entry. */
     double deltaMicros() {
         return medianMicros(20, () -> advance(10_000), () -> {
             Endpoint changed = endpoints.get(random.nextInt(endpoints.size()));
@@ -231,12 +239,12 @@
                 5, () -> advance(10_000), () -> policy.onEndpointList(nowMicros, EndpointListType.FULL, endpoints));
     }
 
-    /** Settings read from text and put in force. */
+    /** Returns the time for reading settings from text and applying them. */
     double settingsMicros() {
-        return medianMicros(5, () -> advance(10_000), () -> policy.onSettings(nowMicros, shape.settings(0)));
+        return medianMicros(5, () -> advance(10_000), () -> policy.onSettings(nowMicros, parameters.settings(0)));
     }
 
-    /** Heap of one module that knows its endpoints and other sidecars and has no requests. */
+    /** Returns the heap of one module that has its endpoints and the gossip of all other sidecars, and no requests. */
     long heapBytes() {
         return heapBytes;
     }
--- a/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
@@ -6,103 +6,112 @@
 import loadbalancer.decision.EndpointState;
 
 /**
- * A model of an endpoint: cores with one queue, slow start after each restart, and a check of the requests that arrive
- * during slow start against the overload budget of the settings. Times are microseconds of the fleet's clock.
+ * A model of an endpoint that has several cores with one queue and that is in slow start after each restart. It
+ * compares the requests that arrive during slow start with the overload budget of the settings. Times are microseconds
+ * of the fleet's clock.
  */
 final class SimulatedEndpoint {
     private final String id;
-    private final double[] coreFreeAtMicros = new double[FleetShape.CORES_PER_ENDPOINT];
-    /** Arrival times of the last overload window. */
+    private final double[] coreIdleAtMicros = new double[FleetParameters.CORES_PER_ENDPOINT];
+    /** Arrival times within the latest overload window. */
     private final ArrayDeque<Long> recentArrivals = new ArrayDeque<>();
 
-    /** 0 if it started long ago and is not in slow start. */
+    /** Time of the latest restart; 0 if the endpoint has not restarted and is therefore not in slow start. */
     private long startedMicros;
 
-    private double worstBudgetExcess = Double.NEGATIVE_INFINITY;
+    private double maxBudgetExcess = Double.NEGATIVE_INFINITY;
     private long slowStartRequests;
     private double slowStartCapacity;
-    private long countedUntilMicros;
+    private long capacityCountedUntilMicros;
 
     SimulatedEndpoint(String id) {
         this.id = id;
     }
 
-    /** The endpoint's entry in the endpoint list. */
+    /** Returns the entry of this endpoint in the endpoint list. */
     Endpoint listEntry() {
-        return new Endpoint(id, FleetShape.ZONE, FleetShape.MACHINE_TYPE, 1, startedMicros, 1, EndpointState.READY);
+        return new Endpoint(
+                id, FleetParameters.ZONE, FleetParameters.MACHINE_TYPE, 1, startedMicros, 1, EndpointState.READY);
     }
 
-    /** Replaces the process by a new one under the same id: idle and in slow start. */
+    /** Replaces the endpoint's process by a new one with the same id, which is idle and in slow start. */
     void restart(long nowMicros) {
         startedMicros = nowMicros;
-        countedUntilMicros = nowMicros;
-        Arrays.fill(coreFreeAtMicros, nowMicros);
+        capacityCountedUntilMicros = nowMicros;
+        Arrays.fill(coreIdleAtMicros, nowMicros);
         recentArrivals.clear();
     }
 
-    /** The part of its full capacity that the endpoint has at this time. */
+    /** Returns the capacity of the endpoint at this time, as a fraction of its full capacity. */
     private double capacityRatio(double atMicros) {
         if (startedMicros == 0) {
             return 1;
         }
-        double initialRatio = FleetShape.SLOW_START_INITIAL_RATIO;
-        double ratio = initialRatio + (1 - initialRatio) * (atMicros - startedMicros) / FleetShape.SLOW_START_MICROS;
+        double initialRatio = FleetParameters.SLOW_START_INITIAL_RATIO;
+        double ratio =
+                initialRatio + (1 - initialRatio) * (atMicros - startedMicros) / FleetParameters.SLOW_START_MICROS;
         return Math.min(1, ratio);
     }
 
-    /** Accepts a request and returns the time at which it will be answered. */
+    /** Accepts a request and returns the time of its response. */
     long accept(long nowMicros, double workMicros) {
-        int core = firstFreeCore();
-        double startMicros = Math.max(nowMicros, coreFreeAtMicros[core]);
-        coreFreeAtMicros[core] = startMicros + workMicros / capacityRatio(startMicros);
+        int core = firstIdleCore();
+        double startMicros = Math.max(nowMicros, coreIdleAtMicros[core]);
+        coreIdleAtMicros[core] = startMicros + workMicros / capacityRatio(startMicros);
         if (capacityRatio(nowMicros) < 1) {
             countSlowStartRequest(nowMicros);
         }
-        return (long) coreFreeAtMicros[core];
+        return (long) coreIdleAtMicros[core];
     }
 
-    private int firstFreeCore() {
+    private int firstIdleCore() {
         int first = 0;
-        for (int core = 1; core < coreFreeAtMicros.length; core++) {
-            first = coreFreeAtMicros[core] < coreFreeAtMicros[first] ? core : first;
+        for (int core = 1; core < coreIdleAtMicros.length; core++) {
+            first = coreIdleAtMicros[core] < coreIdleAtMicros[first] ? core : first;
         }
         return first;
     }
 
-    /** Checks the window that ends now. Its budget is computed from the capacity at its start, where it is least. */
+    /**
+     * Counts a request and compares the overload window that ends now with its budget. The budget is computed from the
+     * capacity at the first arrival in the window, when the capacity is lowest.
+     */
     private void countSlowStartRequest(long nowMicros) {
         slowStartRequests++;
         slowStartCapacity += capacityRatio(nowMicros)
-                * FleetShape.CORES_PER_ENDPOINT
-                / FleetShape.MEAN_WORK_MICROS
-                * (nowMicros - countedUntilMicros);
-        countedUntilMicros = nowMicros;
+                * FleetParameters.CORES_PER_ENDPOINT
+                / FleetParameters.MEAN_WORK_MICROS
+                * (nowMicros - capacityCountedUntilMicros);
+        capacityCountedUntilMicros = nowMicros;
         recentArrivals.add(nowMicros);
-        while (recentArrivals.peek() <= nowMicros - FleetShape.OVERLOAD_WINDOW_MICROS) {
+        while (recentArrivals.peek() <= nowMicros - FleetParameters.OVERLOAD_WINDOW_MICROS) {
             recentArrivals.poll();
         }
-        double budget = FleetShape.OVERLOAD_MULTIPLE
+        double budget = FleetParameters.OVERLOAD_MULTIPLE
                 * capacityRatio(recentArrivals.peek())
-                * FleetShape.CORES_PER_ENDPOINT
-                * FleetShape.OVERLOAD_WINDOW_MICROS
-                / FleetShape.MEAN_WORK_MICROS;
-        worstBudgetExcess = Math.max(worstBudgetExcess, recentArrivals.size() - budget - 2 * Math.sqrt(budget) - 2);
+                * FleetParameters.CORES_PER_ENDPOINT
+                * FleetParameters.OVERLOAD_WINDOW_MICROS
+                / FleetParameters.MEAN_WORK_MICROS;
+        maxBudgetExcess = Math.max(maxBudgetExcess, recentArrivals.size() - budget - 2 * Math.sqrt(budget) - 2);
     }
 
     /**
-     * The largest difference, over all overload windows, between the requests in the window and N + 2 sqrt(N) + 2,
-     * where N is the window's budget and the rest allows for chance. A real endpoint would fail if this were positive.
+     * Returns the maximum over all overload windows of the requests in the window minus (N + 2 sqrt(N) + 2), where N is
+     * the budget of the window and the other terms allow for random variation. A real endpoint would fail if the result
+     * were positive. Returns negative infinity if no request has arrived during slow start.
      */
-    double worstBudgetExcess() {
-        return worstBudgetExcess;
+    double maxBudgetExcess() {
+        return maxBudgetExcess;
     }
 
-    /** Requests that arrived during slow start. */
+    /** Returns the number of requests that arrived during slow start. */
     long slowStartRequests() {
         return slowStartRequests;
     }
 
-    /** Requests that it could have served during slow start, up to the arrival of the last one. */
+    /**
+     * Returns the number of requests that the endpoint could have served during slow start, up to the latest arrival.
+     */
     double slowStartCapacity() {
         return slowStartCapacity;
     }
--- a/src/main/java/loadbalancer/simulation/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedFleet.java
@@ -6,16 +6,20 @@
 import loadbalancer.decision.Endpoint;
 
 /**
- * Sidecars, endpoints, their clients, discovery and gossip on one virtual clock and with one source of random numbers.
- * The history depends on the order of the random draws; keep that order when changing this class. Not thread-safe.
+ * A simulation of sidecars, endpoints, clients, discovery and gossip with one virtual clock and one random number
+ * generator. The simulated events depend on the order in which random numbers are drawn; keep that order when changing
+ * this class. Not thread-safe.
  */
 final class SimulatedFleet {
     private static final long START_MICROS = 1_000_000_000L;
     private static final long GOSSIP_DELAY_MICROS = 2_000;
-    /** Part of the requests that are of {@link FleetShape#SUBMIT_CLASS}; the others are of the other class. */
+    /**
+     * Fraction of the requests in {@link FleetParameters#SUBMIT_CLASS}; the others are in
+     * {@link FleetParameters#ISSUE_CLASS}.
+     */
     private static final double SUBMIT_RATIO = 0.7;
 
-    private final FleetShape shape;
+    private final FleetParameters parameters;
     private final EventQueue events = new EventQueue(START_MICROS);
     private final SplittableRandom random;
     private final List<SimulatedEndpoint> endpoints = new ArrayList<>();
@@ -25,29 +29,29 @@
     private long gossipMessages;
     private long gossipBytes;
 
-    SimulatedFleet(FleetShape shape) {
-        this.shape = shape;
-        random = new SplittableRandom(shape.seed());
-        for (int i = 0; i < shape.endpointCount(); i++) {
+    SimulatedFleet(FleetParameters parameters) {
+        this.parameters = parameters;
+        random = new SplittableRandom(parameters.seed());
+        for (int i = 0; i < parameters.endpointCount(); i++) {
             endpoints.add(new SimulatedEndpoint("s" + i));
         }
         List<Endpoint> endpointList = endpointList();
-        for (int i = 0; i < shape.sidecarCount(); i++) {
+        for (int i = 0; i < parameters.sidecarCount(); i++) {
             sidecars.add(new SimulatedSidecar(this, i));
             sidecars.get(i).start(endpointList);
             scheduleRequest(i);
         }
     }
 
-    FleetShape shape() {
-        return shape;
+    FleetParameters parameters() {
+        return parameters;
     }
 
     long nowMicros() {
         return events.nowMicros();
     }
 
-    /** Runs the fleet for this many more seconds; returns the number of events. */
+    /** Runs the fleet for this number of additional seconds and returns the number of events. */
     long run(double seconds) {
         return events.runUntil(nowMicros() + (long) (seconds * 1e6));
     }
@@ -60,29 +64,30 @@
         return endpoints.stream().map(SimulatedEndpoint::listEntry).toList();
     }
 
-    /** Schedules the next request of a Poisson stream, which schedules its successor. */
+    /** Schedules the sidecar's next request, which schedules the one after it; the requests form a Poisson process. */
     private void scheduleRequest(int sidecarIndex) {
-        double gapMicros = exponential() * 1e6 / shape.requestsPerSecond(sidecarIndex);
-        events.schedule((long) gapMicros, () -> {
+        double delayMicros = exponential() * 1e6 / parameters.requestsPerSecond(sidecarIndex);
+        events.schedule((long) delayMicros, () -> {
             requests++;
             boolean submit = random.nextDouble() < SUBMIT_RATIO;
-            sidecars.get(sidecarIndex).request(submit ? FleetShape.SUBMIT_CLASS : FleetShape.ISSUE_CLASS);
+            sidecars.get(sidecarIndex)
+                    .receiveRequest(submit ? FleetParameters.SUBMIT_CLASS : FleetParameters.ISSUE_CLASS);
             scheduleRequest(sidecarIndex);
         });
     }
 
-    /** A draw from the exponential distribution of mean 1. */
+    /** Returns a random number from the exponential distribution with mean 1. */
     private double exponential() {
         return -Math.log(1 - random.nextDouble());
     }
 
-    /** Restarts the endpoint's process; each sidecar is notified after a delay of its own. */
+    /** Restarts the endpoint's process; each sidecar is notified after an independent random delay. */
     void restartEndpoint(int endpointIndex) {
         endpoints.get(endpointIndex).restart(nowMicros());
         Endpoint entry = endpoints.get(endpointIndex).listEntry();
         for (SimulatedSidecar sidecar : sidecars) {
-            long delayMicros = (long) (random.nextDouble() * shape.maxNotificationDelayMicros());
-            events.schedule(delayMicros, () -> sidecar.endpointChanged(entry));
+            long delayMicros = (long) (random.nextDouble() * parameters.maxNotificationDelayMicros());
+            events.schedule(delayMicros, () -> sidecar.receiveEndpointChange(entry));
         }
     }
 
@@ -90,33 +95,33 @@
         sidecars.get(sidecarIndex).start(endpointList());
     }
 
-    /** Sends a request to the endpoint and returns the time at which it will be answered. */
+    /** Sends a request to the endpoint and returns the time of the response. */
     long forward(String endpointId) {
-        double workMicros = exponential() * FleetShape.MEAN_WORK_MICROS;
+        double workMicros = exponential() * FleetParameters.MEAN_WORK_MICROS;
         int endpointIndex = Integer.parseInt(endpointId.substring(1));
         return endpoints.get(endpointIndex).accept(nowMicros(), workMicros);
     }
 
-    /** Sends gossip to one sidecar, or to all others where {@code receiver} is negative. */
-    void sendGossip(int sender, int receiver, byte[] message) {
-        if (receiver >= 0) {
-            sendGossipToOne(sender, receiver, message);
+    /** Sends gossip to one sidecar, or to all others if {@code receiverIndex} is negative. */
+    void sendGossip(int senderIndex, int receiverIndex, byte[] message) {
+        if (receiverIndex >= 0) {
+            sendGossipToOne(senderIndex, receiverIndex, message);
             return;
         }
-        for (int i = 0; i < shape.sidecarCount(); i++) {
-            sendGossipToOne(sender, i, message);
+        for (int i = 0; i < parameters.sidecarCount(); i++) {
+            sendGossipToOne(senderIndex, i, message);
         }
     }
 
-    private void sendGossipToOne(int sender, int receiver, byte[] message) {
-        if (receiver == sender) {
+    private void sendGossipToOne(int senderIndex, int receiverIndex, byte[] message) {
+        if (receiverIndex == senderIndex) {
             return;
         }
         gossipMessages++;
         gossipBytes += message.length;
-        if (random.nextDouble() >= shape.gossipLossRatio()) {
-            SimulatedSidecar sidecar = sidecars.get(receiver);
-            events.schedule(GOSSIP_DELAY_MICROS, () -> sidecar.gossipReceived(sender, message));
+        if (random.nextDouble() >= parameters.gossipLossRatio()) {
+            SimulatedSidecar sidecar = sidecars.get(receiverIndex);
+            events.schedule(GOSSIP_DELAY_MICROS, () -> sidecar.receiveGossip(senderIndex, message));
         }
     }
 
@@ -124,30 +129,30 @@
         servedRequests++;
     }
 
-    /** Requests that clients have sent so far. */
+    /** Returns the number of requests that clients have sent so far. */
     long requests() {
         return requests;
     }
 
-    /** The part of the requests so far, 0 to 1, that was served before its deadline. */
+    /** Returns the fraction, 0 to 1, of the requests so far that were served before their deadline. */
     double servedRatio() {
         return servedRequests / (double) Math.max(1, requests);
     }
 
     /**
-     * Relative errors of the sidecars' estimates of the fleet's rate, sorted; sidecars without an estimate are left
-     * out.
+     * Returns the relative errors of the sidecars' estimates of the fleet's request rate, in ascending order. Sidecars
+     * without an estimate are omitted.
      */
     double[] rateEstimateErrors() {
         return sidecars.stream()
-                .mapToDouble(SimulatedSidecar::estimatedFleetRate)
+                .mapToDouble(SimulatedSidecar::estimatedFleetRatePerSecond)
                 .filter(rate -> rate >= 0)
-                .map(rate -> Math.abs(rate / shape.requestsPerSecond() - 1))
+                .map(rate -> Math.abs(rate / parameters.requestsPerSecond() - 1))
                 .sorted()
                 .toArray();
     }
 
-    /** Gossip messages sent so far, counted by receiver. */
+    /** Returns the number of gossip messages sent so far; a message to several sidecars counts once for each. */
     long gossipMessages() {
         return gossipMessages;
     }
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -12,7 +12,7 @@
 import loadbalancer.decision.LoadBalancingPolicy;
 import loadbalancer.decision.Request;
 
-/** A sidecar of a simulated fleet: a real decision module whose actions go to the models of the fleet. */
+/** A sidecar of a simulated fleet: a real decision module whose actions are executed by the models of the fleet. */
 final class SimulatedSidecar extends NoOpActions {
     private static final Pattern FLEET_RATE = Pattern.compile("^estimates .*?\\bfleet_rate_per_second=(\\d+)");
 
@@ -20,54 +20,61 @@
 
     private final SimulatedFleet fleet;
     private final int sidecarIndex;
-    /** Attempts so far of the requests in progress, by request id. */
+    /** Number of attempts so far of each request in progress, by request id. */
     private final Map<String, Integer> attemptCounts = new HashMap<>();
 
     private LoadBalancingPolicy policy;
-    /** Number of the present process; timers and responses of an earlier one are dropped. */
+    /** Number of the current process; timers and responses of an earlier process are ignored. */
     private int processNumber;
 
     private long requests;
-    private double estimatedFleetRate = NO_ESTIMATE;
+    private double estimatedFleetRatePerSecond = NO_ESTIMATE;
 
     SimulatedSidecar(SimulatedFleet fleet, int sidecarIndex) {
         this.fleet = fleet;
         this.sidecarIndex = sidecarIndex;
     }
 
-    /** Starts a new process with this endpoint list; it keeps no state of an earlier process. */
+    /** Starts a new process with this endpoint list and without any state of an earlier process. */
     void start(List<Endpoint> endpointList) {
         processNumber++;
         attemptCounts.clear();
-        estimatedFleetRate = NO_ESTIMATE;
-        long seed = fleet.shape().seed() * 1_000_003 + sidecarIndex * 31L + processNumber;
-        policy = new LoadBalancingPolicy(fleet.shape().settings(sidecarIndex), seed, fleet.nowMicros(), this);
+        estimatedFleetRatePerSecond = NO_ESTIMATE;
+        long seed = fleet.parameters().seed() * 1_000_003 + sidecarIndex * 31L + processNumber;
+        policy = new LoadBalancingPolicy(fleet.parameters().settings(sidecarIndex), seed, fleet.nowMicros(), this);
         policy.onEndpointList(fleet.nowMicros(), EndpointListType.FULL, endpointList);
     }
 
-    void endpointChanged(Endpoint entry) {
+    void receiveEndpointChange(Endpoint entry) {
         policy.onEndpointList(fleet.nowMicros(), EndpointListType.DELTA, List.of(entry));
     }
 
-    void gossipReceived(int sender, byte[] message) {
-        policy.onGossip(fleet.nowMicros(), sender, message);
+    void receiveGossip(int senderIndex, byte[] message) {
+        policy.onGossip(fleet.nowMicros(), senderIndex, message);
     }
 
-    /** A client sends a request of this class. */
-    void request(String requestClass) {
+    /** Reports a new client request of this class to the decision module. */
+    void receiveRequest(String requestClass) {
         String id = sidecarIndex + "-" + processNumber + "-" + requests++;
         attemptCounts.put(id, 0);
         policy.onRequest(
                 fleet.nowMicros(),
                 new Request(
-                        id, Request.NO_ROUTING_KEY, false, false, 0, FleetShape.DEADLINE_MICROS, null, requestClass));
+                        id,
+                        Request.NO_ROUTING_KEY,
+                        false,
+                        false,
+                        0,
+                        FleetParameters.DEADLINE_MICROS,
+                        null,
+                        requestClass));
     }
 
-    /** Runs the action as an event after the delay, unless the process has ended by then. */
+    /** Schedules the action to run after the delay, unless the current process has ended by then. */
     private void scheduleInProcess(long delayMicros, Runnable action) {
-        int scheduledBy = processNumber;
+        int schedulingProcess = processNumber;
         fleet.schedule(delayMicros, () -> {
-            if (processNumber == scheduledBy) {
+            if (processNumber == schedulingProcess) {
                 action.run();
             }
         });
@@ -77,9 +84,9 @@
     public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
         int attempt = attemptCounts.merge(requestId, 1, Integer::sum) - 1;
         long sentMicros = fleet.nowMicros();
-        long answeredMicros = fleet.forward(endpointId);
-        boolean timedOut = answeredMicros > deadlineMicros;
-        long latencyMicros = (timedOut ? deadlineMicros : answeredMicros) - sentMicros;
+        long responseMicros = fleet.forward(endpointId);
+        boolean timedOut = responseMicros > deadlineMicros;
+        long latencyMicros = (timedOut ? deadlineMicros : responseMicros) - sentMicros;
         AttemptOutcome outcome = timedOut ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
         AttemptResult result =
                 new AttemptResult(requestId, attempt, endpointId, outcome, latencyMicros, !timedOut, null);
@@ -103,8 +110,8 @@
     }
 
     @Override
-    public void sendGossip(int receiver, byte[] message) {
-        fleet.sendGossip(sidecarIndex, receiver, message);
+    public void sendGossip(int receiverIndex, byte[] message) {
+        fleet.sendGossip(sidecarIndex, receiverIndex, message);
     }
 
     @Override
@@ -112,17 +119,19 @@
         scheduleInProcess(delayMicros, () -> policy.onTimer(fleet.nowMicros(), timerName));
     }
 
-    /** Reads the module's estimate of the fleet's rate from the line that it logs regularly. */
+    /** Reads the estimate of the fleet's request rate from the line that the decision module logs regularly. */
     @Override
     public void log(String text) {
         Matcher rate = FLEET_RATE.matcher(text);
         if (rate.find()) {
-            estimatedFleetRate = Double.parseDouble(rate.group(1));
+            estimatedFleetRatePerSecond = Double.parseDouble(rate.group(1));
         }
     }
 
-    /** Requests a second of the whole fleet by the module's latest estimate; negative if there was none yet. */
-    double estimatedFleetRate() {
-        return estimatedFleetRate;
+    /**
+     * Returns the decision module's latest estimate of the fleet's requests per second; negative if there is none yet.
+     */
+    double estimatedFleetRatePerSecond() {
+        return estimatedFleetRatePerSecond;
     }
 }
--- a/src/main/java/loadbalancer/simulation/package-info.java
+++ b/src/main/java/loadbalancer/simulation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Simulated fleets: many real decision modules in one process on one virtual clock, with models of endpoints, clients,
- * discovery and gossip. Owns the models and the measurements made on them. It opens no socket, decides nothing about a
- * request, and only the command line may import it.
+ * Simulated fleets: many real decision modules in one process with one virtual clock, and models of endpoints, clients,
+ * discovery and gossip. This package contains the models and the measurements made with them. It opens no socket and
+ * makes no decision about a request, and only the command line may import it.
  */
 package loadbalancer.simulation;
--- a/src/main/java/loadbalancer/simulator/EndpointPages.java
+++ b/src/main/java/loadbalancer/simulator/EndpointPages.java
@@ -7,8 +7,9 @@
 import loadbalancer.decision.Endpoint;
 
 /**
- * The numbered lists of endpoints that the simulator sends once for all instances; events refer to them by number. A
- * new list replaces the one with the same number; instances keep the entries that they were given before.
+ * Stores the numbered endpoint lists (pages) that the simulator sends once for all instances; events refer to a page by
+ * its number. A new page replaces the one with the same number. Instances keep the entries that they have already
+ * received.
  */
 final class EndpointPages {
     private static final int PAGE_COUNT = 16;
@@ -23,16 +24,17 @@
     }
 
     /**
-     * Reads a page.
+     * Reads and stores a page.
      *
-     * @param header the page's first line, read up to its number
-     * @param input holds the page's rows as its next lines
+     * @param header the first line of the page, positioned at the page number
+     * @param input the reader whose next lines are the rows of the page
      * @throws SimulatorProtocolException if the page is malformed
      */
     void read(FieldReader header, BufferedReader input) throws IOException {
         int number = (int) header.integer();
         if (!isPageNumber(number)) {
-            throw new SimulatorProtocolException("PAGE number " + number + " is out of range");
+            throw new SimulatorProtocolException(
+                    "expected a PAGE number from 0 to " + (PAGE_COUNT - 1) + " but found '" + number + "'");
         }
         long rowCount = header.integer();
         List<Endpoint> endpoints = new ArrayList<>();
@@ -47,14 +49,14 @@
     }
 
     /**
-     * The endpoints of the latest page of this number.
+     * Returns the endpoints of the latest page with this number.
      *
-     * @throws SimulatorProtocolException if there is none
+     * @throws SimulatorProtocolException if no page with this number has been read
      */
     List<Endpoint> get(int number) {
         List<Endpoint> endpoints = isPageNumber(number) ? pages.get(number) : null;
         if (endpoints == null) {
-            throw new SimulatorProtocolException("ANNOUNCE names PAGE " + number + ", which was never sent");
+            throw new SimulatorProtocolException("ANNOUNCE refers to PAGE " + number + ", which has not been sent");
         }
         return endpoints;
     }
@@ -66,7 +68,7 @@
     private static Endpoint endpoint(String line) {
         FieldReader fields = new FieldReader(line);
         if (!fields.text().equals(WireNames.ENDPOINT_ROW)) {
-            throw new SimulatorProtocolException("a PAGE holds ROW lines, not '" + line + "'");
+            throw new SimulatorProtocolException("expected a ROW line of a PAGE but found '" + line + "'");
         }
         String zone = fields.text();
         String id = fields.text();
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -11,7 +11,7 @@
 import loadbalancer.input.LoadReportFields;
 
 /**
- * Decodes the events of running instances, one method for each message. Fields are read from left to right, so the
+ * Decodes the events of running instances, with one method for each message. Fields are read from left to right, so the
  * order of the statements in these methods matters.
  */
 final class EventDecoder {
@@ -26,13 +26,13 @@
     /**
      * Decodes one event.
      *
-     * @param name the message's name, which has been read from the line
-     * @param fields the rest of the line
-     * @param loadReportFieldNames names of the values of a load report at this instance, in their order
+     * @param messageName the name of the message, already read from the line
+     * @param fields the remaining fields of the line
+     * @param loadReportFieldNames names of the values in load reports to this instance, in the order of the values
      * @throws SimulatorProtocolException if the message is unknown or malformed
      */
-    InstanceEvent decode(String name, FieldReader fields, List<String> loadReportFieldNames) {
-        return switch (name) {
+    InstanceEvent decode(String messageName, FieldReader fields, List<String> loadReportFieldNames) {
+        return switch (messageName) {
             case WireNames.ENDPOINT_LIST -> endpointList(fields);
             case WireNames.REQUEST -> request(fields);
             case WireNames.ATTEMPT_OUTCOME -> attemptOutcome(fields, loadReportFieldNames);
@@ -41,13 +41,13 @@
             case WireNames.REQUEST_EXPIRED -> requestExpired(fields);
             case WireNames.GOSSIP_RECEIVED -> gossipReceived(fields);
             case WireNames.TIMER_FIRED -> timerFired(fields);
-            default -> throw new SimulatorProtocolException("message '" + name + "' is unknown");
+            default -> throw new SimulatorProtocolException("unknown message '" + messageName + "'");
         };
     }
 
     private InstanceEvent endpointList(FieldReader fields) {
         EndpointListType type = WireNames.endpointListType(fields.integer());
-        // The list's version is not needed: the simulator sends changes in order and without gaps.
+        // The version of the list is not needed: the simulator sends changes in order and without gaps.
         fields.integerOr(0);
         int page = (int) fields.integerOr(NO_PAGE);
         List<Endpoint> endpoints = type == EndpointListType.FAILED ? List.of() : pages.get(page);
@@ -117,24 +117,28 @@
         try {
             return base64 == null ? new byte[0] : Base64.getDecoder().decode(base64);
         } catch (IllegalArgumentException e) {
-            throw new SimulatorProtocolException("'" + base64 + "' is not base64");
+            throw new SimulatorProtocolException("expected a base64 message but found '" + base64 + "'");
         }
     }
 
-    /** Decodes values joined with commas; null stands for no report in both {@code row} and the result. */
-    private static LoadReport loadReport(String row, List<String> fieldNames) {
-        if (row == null) {
+    /**
+     * Decodes comma-separated values; returns null if {@code commaSeparatedValues} is null, which means that there is
+     * no load report.
+     */
+    private static LoadReport loadReport(String commaSeparatedValues, List<String> fieldNames) {
+        if (commaSeparatedValues == null) {
             return null;
         }
         LoadReportFields fields = new LoadReportFields();
-        String[] values = row.split(",");
+        String[] values = commaSeparatedValues.split(",");
         for (int i = 0; i < values.length && i < fieldNames.size(); i++) {
             try {
                 fields.put(
                         fieldNames.get(i),
                         values[i].equals(WireNames.ABSENT) ? LoadReport.NOT_REPORTED : Double.parseDouble(values[i]));
             } catch (NumberFormatException e) {
-                throw new SimulatorProtocolException("load report '" + row + "' holds a value that is no number");
+                throw new SimulatorProtocolException(
+                        "expected a load report of comma-separated numbers but found '" + commaSeparatedValues + "'");
             }
         }
         return fields.report();
--- a/src/main/java/loadbalancer/simulator/FieldReader.java
+++ b/src/main/java/loadbalancer/simulator/FieldReader.java
@@ -4,18 +4,19 @@
 import java.util.Map;
 
 /**
- * Reads the fields of one line of the wire from left to right. Fields are separated by single spaces;
- * {@link WireNames#ABSENT} stands for a value that is not given.
+ * Reads the fields of one line of the simulator's wire from left to right. Fields are separated by single spaces;
+ * {@link WireNames#ABSENT} stands for an absent value.
  *
- * <p>All methods throw {@link SimulatorProtocolException} if the line has no further field or the field is malformed.
+ * <p>All methods throw {@link SimulatorProtocolException} if the field is malformed. {@link #text} and {@link #integer}
+ * also throw it if the line has no further field.
  */
 final class FieldReader {
-    /** Any decimal number of this many digits fits into a long. */
+    /** Any decimal integer with this number of digits fits into a long. */
     private static final int MAX_DIGITS = 18;
-    /** Whole numbers below this are exact as doubles. */
-    private static final double MAX_WHOLE_DECIMAL = 1e15;
+    /** Doubles represent all integers below this value exactly. */
+    private static final double MAX_EXACT_INTEGER = 1e15;
 
-    private static final int MAX_SHOWN_CHARACTERS = 120;
+    private static final int MAX_LINE_CHARACTERS_IN_MESSAGE = 120;
 
     private final String line;
     private int position;
@@ -24,27 +25,27 @@
         this.line = line;
     }
 
-    private boolean hasMore() {
+    private boolean hasNextField() {
         return position <= line.length() && !line.isEmpty();
     }
 
     String text() {
-        if (!hasMore()) {
-            throw new SimulatorProtocolException("too few fields in '" + shownLine() + "'");
+        if (!hasNextField()) {
+            throw new SimulatorProtocolException("too few fields in line '" + abbreviatedLine() + "'");
         }
         int space = line.indexOf(' ', position);
         int end = space < 0 ? line.length() : space;
         String value = line.substring(position, end);
         position = end + 1;
         if (value.isEmpty()) {
-            throw new SimulatorProtocolException("empty field in '" + shownLine() + "'");
+            throw new SimulatorProtocolException("empty field in line '" + abbreviatedLine() + "'");
         }
         return value;
     }
 
-    /** The next field, or null where it is absent or the line has ended. */
+    /** Returns the next field, or null if it is absent or the line has no further field. */
     String textOrNull() {
-        if (!hasMore()) {
+        if (!hasNextField()) {
             return null;
         }
         String value = text();
@@ -55,32 +56,33 @@
         return parseInteger(text());
     }
 
-    long integerOr(long absent) {
+    long integerOr(long defaultValue) {
         String value = textOrNull();
-        return value == null ? absent : parseInteger(value);
+        return value == null ? defaultValue : parseInteger(value);
     }
 
-    double decimalOr(double absent) {
+    double decimalOr(double defaultValue) {
         String value = textOrNull();
-        return value == null ? absent : parseDecimal(value);
+        return value == null ? defaultValue : parseDecimal(value);
     }
 
-    /** False where the field is absent. */
+    /** Returns whether the next field is {@code 1} or {@code true}; false if it is absent. */
     boolean flag() {
         String value = textOrNull();
         return value != null && (value.equals("1") || value.equals("true"));
     }
 
-    /** The rest of the line, which consists of {@code path=value} pairs, as values by path. */
+    /** Returns the remaining fields, which are {@code path=value} pairs, as a map from path to value. */
     Map<String, String> remainingPairs() {
         Map<String, String> values = new HashMap<>();
-        while (hasMore()) {
+        while (hasNextField()) {
             String pair = text();
-            int equals = pair.indexOf('=');
-            if (equals <= 0) {
-                throw new SimulatorProtocolException("setting '" + pair + "' is not of the form path=value");
+            int separator = pair.indexOf('=');
+            if (separator <= 0) {
+                throw new SimulatorProtocolException(
+                        "expected a setting of the form path=value but found '" + pair + "'");
             }
-            values.put(pair.substring(0, equals), pair.substring(equals + 1));
+            values.put(pair.substring(0, separator), pair.substring(separator + 1));
         }
         return values;
     }
@@ -94,17 +96,17 @@
         for (int i = firstDigit; i < value.length(); i++) {
             char digit = value.charAt(i);
             if (digit < '0' || digit > '9') {
-                return parseWholeDecimal(value);
+                return parseIntegralDecimal(value);
             }
             magnitude = magnitude * 10 + (digit - '0');
         }
         return firstDigit == 1 ? -magnitude : magnitude;
     }
 
-    /** An integer written as a decimal, such as {@code 3.0} or {@code 1e6}. */
-    private long parseWholeDecimal(String value) {
+    /** Parses an integer that is written as a decimal, such as {@code 3.0} or {@code 1e6}. */
+    private long parseIntegralDecimal(String value) {
         double number = parseDecimal(value);
-        if (number == Math.rint(number) && Math.abs(number) < MAX_WHOLE_DECIMAL) {
+        if (number == Math.rint(number) && Math.abs(number) < MAX_EXACT_INTEGER) {
             return (long) number;
         }
         throw notAnInteger(value);
@@ -124,14 +126,18 @@
     }
 
     private SimulatorProtocolException notAnInteger(String value) {
-        return new SimulatorProtocolException("'" + value + "' is no integer in '" + shownLine() + "'");
+        return new SimulatorProtocolException(
+                "expected an integer but found '" + value + "' in line '" + abbreviatedLine() + "'");
     }
 
     private SimulatorProtocolException notANumber(String value) {
-        return new SimulatorProtocolException("'" + value + "' is no number in '" + shownLine() + "'");
+        return new SimulatorProtocolException(
+                "expected a number but found '" + value + "' in line '" + abbreviatedLine() + "'");
     }
 
-    private String shownLine() {
-        return line.length() > MAX_SHOWN_CHARACTERS ? line.substring(0, MAX_SHOWN_CHARACTERS) + "..." : line;
+    private String abbreviatedLine() {
+        return line.length() > MAX_LINE_CHARACTERS_IN_MESSAGE
+                ? line.substring(0, MAX_LINE_CHARACTERS_IN_MESSAGE) + "..."
+                : line;
     }
 }
--- a/src/main/java/loadbalancer/simulator/Reply.java
+++ b/src/main/java/loadbalancer/simulator/Reply.java
@@ -1,7 +1,8 @@
 package loadbalancer.simulator;
 
 /**
- * The reply to one batch: a line for each action, and a line with the instance's name wherever the instance changes.
+ * The reply to one batch. It contains a line for each action, and a line with the instance name before each action
+ * whose instance differs from that of the action before it.
  */
 final class Reply {
     private static final int INITIAL_CAPACITY = 1 << 16;
@@ -9,14 +10,16 @@
     private final StringBuilder text = new StringBuilder(INITIAL_CAPACITY);
     private String currentInstance;
 
-    /** Starts the reply to the next batch. */
+    /** Discards the text, so that the reply to the next batch can be built. */
     void clear() {
         text.setLength(0);
         currentInstance = null;
     }
 
-    /** Starts the line of an action of the instance; the caller appends the action's fields and the line break. */
-    StringBuilder action(String instance, String action) {
+    /**
+     * Starts the line of an action and returns the builder, to which the caller appends the fields and the line feed.
+     */
+    StringBuilder startAction(String instance, String action) {
         if (!instance.equals(currentInstance)) {
             text.append(WireNames.ACTION_INSTANCE).append(' ').append(instance).append('\n');
             currentInstance = instance;
@@ -24,12 +27,12 @@
         return text.append(action);
     }
 
-    /** Reports that the instance's decision module threw; the simulator ends the run with this text. */
-    void instanceFailed(String instance, RuntimeException failure) {
-        StackTraceElement[] trace = failure.getStackTrace();
-        action(instance, WireNames.INSTANCE_FAILED)
+    /** Reports that the decision module of the instance threw; the simulator ends the run and reports this text. */
+    void instanceFailed(String instance, RuntimeException exception) {
+        StackTraceElement[] trace = exception.getStackTrace();
+        startAction(instance, WireNames.INSTANCE_FAILED)
                 .append(' ')
-                .append(failure.toString().replace('\n', ' '))
+                .append(exception.toString().replace('\n', ' '))
                 .append(trace.length > 0 ? " at " + trace[0] : "")
                 .append('\n');
     }
--- a/src/main/java/loadbalancer/simulator/ReplyWriter.java
+++ b/src/main/java/loadbalancer/simulator/ReplyWriter.java
@@ -3,7 +3,7 @@
 import java.util.Base64;
 import loadbalancer.decision.LoadBalancerActions;
 
-/** Writes the actions of one instance into the reply. */
+/** Appends the actions of one instance to the reply. */
 final class ReplyWriter implements LoadBalancerActions {
     private final String instance;
     private final Reply reply;
@@ -13,13 +13,13 @@
         this.reply = reply;
     }
 
-    private StringBuilder action(String name) {
-        return reply.action(instance, name);
+    private StringBuilder startAction(String name) {
+        return reply.startAction(instance, name);
     }
 
     @Override
     public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
-        action(WireNames.SEND_ATTEMPT)
+        startAction(WireNames.SEND_ATTEMPT)
                 .append(' ')
                 .append(requestId)
                 .append(' ')
@@ -31,7 +31,7 @@
 
     @Override
     public void reject(String requestId, long retryAfterMicros) {
-        action(WireNames.REJECT)
+        startAction(WireNames.REJECT)
                 .append(' ')
                 .append(requestId)
                 .append(' ')
@@ -41,12 +41,12 @@
 
     @Override
     public void fail(String requestId) {
-        action(WireNames.FAIL).append(' ').append(requestId).append('\n');
+        startAction(WireNames.FAIL).append(' ').append(requestId).append('\n');
     }
 
     @Override
     public void cancelAttempt(String requestId, int attemptNumber) {
-        action(WireNames.CANCEL_ATTEMPT)
+        startAction(WireNames.CANCEL_ATTEMPT)
                 .append(' ')
                 .append(requestId)
                 .append(' ')
@@ -56,17 +56,17 @@
 
     @Override
     public void checkHealth(String endpointId) {
-        action(WireNames.CHECK_HEALTH).append(' ').append(endpointId).append('\n');
+        startAction(WireNames.CHECK_HEALTH).append(' ').append(endpointId).append('\n');
     }
 
     @Override
     public void pollEndpoints() {
-        action(WireNames.POLL_ENDPOINTS).append('\n');
+        startAction(WireNames.POLL_ENDPOINTS).append('\n');
     }
 
     @Override
     public void sendGossip(int sidecarIndex, byte[] message) {
-        action(WireNames.SEND_GOSSIP)
+        startAction(WireNames.SEND_GOSSIP)
                 .append(' ')
                 .append(sidecarIndex)
                 .append(' ')
@@ -76,12 +76,15 @@
 
     @Override
     public void closeIdleConnections(String endpointId) {
-        action(WireNames.CLOSE_IDLE_CONNECTIONS).append(' ').append(endpointId).append('\n');
+        startAction(WireNames.CLOSE_IDLE_CONNECTIONS)
+                .append(' ')
+                .append(endpointId)
+                .append('\n');
     }
 
     @Override
     public void startTimer(String timerName, long delayMicros) {
-        action(WireNames.START_TIMER)
+        startAction(WireNames.START_TIMER)
                 .append(' ')
                 .append(timerName)
                 .append(' ')
@@ -91,6 +94,6 @@
 
     @Override
     public void log(String text) {
-        action(WireNames.LOG).append(' ').append(text).append('\n');
+        startAction(WireNames.LOG).append(' ').append(text).append('\n');
     }
 }
--- a/src/main/java/loadbalancer/simulator/SimulatorHost.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorHost.java
@@ -17,11 +17,11 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * Hosts many isolated decision modules for the simulator: reads batches of events, reports each event to its instance
- * and answers each batch with the actions of the instances.
+ * Hosts many isolated decision modules for the simulator. Reads batches of events, reports each event to its instance,
+ * and replies to each batch with the actions of the instances.
  *
- * <p>Not thread-safe; {@link #run} does everything on the calling thread. If a module throws, the reply reports it and
- * no further event is passed to any module, since the simulator then ends the run.
+ * <p>Not thread-safe; {@link #run} does all work on the calling thread. If a decision module throws, the reply reports
+ * the exception and no further event is passed to any module, because the simulator then ends the run.
  */
 public final class SimulatorHost {
     private static final int EXIT_OK = 0;
@@ -35,16 +35,16 @@
     private final EndpointPages pages = new EndpointPages();
     private final EventDecoder decoder = new EventDecoder(pages);
     private final Map<String, Instance> instances = new HashMap<>();
-    /** Whether a module has thrown. */
-    private boolean failed;
+    /** Whether a decision module has thrown. */
+    private boolean moduleFailed;
 
-    /** One hosted module and the order in which load reports to it list their values. */
+    /** A hosted decision module and the names of the values in load reports to it, in the order of the values. */
     private record Instance(LoadBalancer balancer, List<String> loadReportFieldNames) {}
 
     /**
-     * @param input batches of events, UTF-8
-     * @param output replies, UTF-8; flushed after each
-     * @param errors one line if the input is invalid
+     * @param input batches of events in UTF-8
+     * @param output receives the replies in UTF-8; flushed after each reply
+     * @param errors receives one line if the input is invalid
      */
     public SimulatorHost(InputStream input, OutputStream output, PrintStream errors) {
         this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), INPUT_BUFFER_CHARACTERS);
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Runs until the input ends.
+     * Replies to batches until the input ends.
      *
      * @return the exit status of the process: 0 at the end of the input, 1 if the input is invalid
      * @throws IOException if the input can't be read or the output can't be written
@@ -62,7 +62,7 @@
         try {
             String line;
             while ((line = input.readLine()) != null) {
-                answerBatch(line);
+                replyToBatch(line);
             }
             return EXIT_OK;
         } catch (SimulatorProtocolException | InvalidSettingsException e) {
@@ -71,10 +71,10 @@
         }
     }
 
-    private void answerBatch(String firstLine) throws IOException {
+    private void replyToBatch(String firstLine) throws IOException {
         FieldReader header = new FieldReader(firstLine);
         if (!header.text().equals(WireNames.BATCH_START)) {
-            throw new SimulatorProtocolException("a batch starts with MARK, not '" + firstLine + "'");
+            throw new SimulatorProtocolException("expected MARK at the start of a batch but found '" + firstLine + "'");
         }
         long nowMicros = header.integer();
         reply.clear();
@@ -88,15 +88,15 @@
         String line;
         while (!(line = readBatchLine()).equals(WireNames.BATCH_END)) {
             FieldReader fields = new FieldReader(line);
-            String message = fields.text();
-            if (message.equals(WireNames.EVENT_INSTANCE)) {
+            String messageName = fields.text();
+            if (messageName.equals(WireNames.EVENT_INSTANCE)) {
                 instanceName = fields.text();
-            } else if (message.equals(WireNames.ENDPOINT_PAGE)) {
+            } else if (messageName.equals(WireNames.ENDPOINT_PAGE)) {
                 pages.read(fields, input);
             } else if (instanceName == null) {
-                throw new SimulatorProtocolException("'" + message + "' comes before any INSTANCE");
+                throw new SimulatorProtocolException("expected an INSTANCE line before '" + messageName + "'");
             } else {
-                handleEvent(nowMicros, instanceName, message, fields);
+                handleEvent(nowMicros, instanceName, messageName, fields);
             }
         }
     }
@@ -109,11 +109,11 @@
         return line;
     }
 
-    private void handleEvent(long nowMicros, String instanceName, String message, FieldReader fields) {
-        switch (message) {
+    private void handleEvent(long nowMicros, String instanceName, String messageName, FieldReader fields) {
+        switch (messageName) {
             case WireNames.INSTANCE_STARTED -> startInstance(nowMicros, instanceName, fields);
             case WireNames.INSTANCE_STOPPED -> instances.remove(instanceName);
-            default -> reportEvent(nowMicros, instanceName, message, fields);
+            default -> reportEvent(nowMicros, instanceName, messageName, fields);
         }
     }
 
@@ -121,31 +121,32 @@
         long seed = fields.integer();
         SettingsReader reader = new SettingsReader(fields.remainingPairs());
         LoadBalancerSettings settings = reader.read();
-        runModule(instanceName, () -> {
+        callModule(instanceName, () -> {
             ReplyWriter actions = new ReplyWriter(instanceName, reply);
             LoadBalancer balancer = new LoadBalancingPolicy(settings, seed, nowMicros, actions);
             instances.put(instanceName, new Instance(balancer, reader.loadReportFieldNames()));
         });
     }
 
-    private void reportEvent(long nowMicros, String instanceName, String message, FieldReader fields) {
+    private void reportEvent(long nowMicros, String instanceName, String messageName, FieldReader fields) {
         Instance instance = instances.get(instanceName);
         if (instance == null) {
-            throw new SimulatorProtocolException("'" + message + "' for '" + instanceName + "', which has not started");
+            throw new SimulatorProtocolException(
+                    "'" + messageName + "' for instance '" + instanceName + "', which has not started");
         }
-        InstanceEvent event = decoder.decode(message, fields, instance.loadReportFieldNames);
-        runModule(instanceName, () -> event.report(nowMicros, instance.balancer));
+        InstanceEvent event = decoder.decode(messageName, fields, instance.loadReportFieldNames);
+        callModule(instanceName, () -> event.report(nowMicros, instance.balancer));
     }
 
-    /** Runs a call of a module and reports its exception; does nothing after any module has thrown. */
-    private void runModule(String instanceName, Runnable call) {
-        if (failed) {
+    /** Calls a decision module and reports any exception in the reply; does nothing once any module has thrown. */
+    private void callModule(String instanceName, Runnable call) {
+        if (moduleFailed) {
             return;
         }
         try {
             call.run();
         } catch (RuntimeException e) {
-            failed = true;
+            moduleFailed = true;
             reply.instanceFailed(instanceName, e);
         }
     }
--- a/src/main/java/loadbalancer/simulator/WireNames.java
+++ b/src/main/java/loadbalancer/simulator/WireNames.java
@@ -4,21 +4,24 @@
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.EndpointState;
 
-/** Maps the names and codes of the simulator's wire to the terms of the code; no other class knows them. */
+/**
+ * Defines the names and codes of the simulator's wire and maps them to the terms of the code. No other class defines
+ * any.
+ */
 final class WireNames {
-    // Frames of batches and replies.
+    // Delimiters of batches and replies.
     static final String BATCH_START = "MARK";
     static final String BATCH_END = "END";
     static final String REPLY_END = "OK";
-    /** The instance of the events that follow. */
+    /** Names the instance of the events that follow. */
     static final String EVENT_INSTANCE = "INSTANCE";
-    /** The instance of the actions that follow. */
+    /** Names the instance of the actions that follow. */
     static final String ACTION_INSTANCE = "BY";
 
     // Events.
     static final String INSTANCE_STARTED = "ENLIST";
     static final String INSTANCE_STOPPED = "DOWN";
-    /** Numbered list of endpoints that {@link #ENDPOINT_LIST} refers to; belongs to no instance. */
+    /** Starts a numbered endpoint list, which belongs to no instance and which {@link #ENDPOINT_LIST} refers to. */
     static final String ENDPOINT_PAGE = "PAGE";
 
     static final String ENDPOINT_ROW = "ROW";
@@ -59,7 +62,7 @@
             case "RST" -> AttemptOutcome.RESET;
             case "CXL" -> AttemptOutcome.CANCELLED;
             case "NOP" -> AttemptOutcome.NOT_SENT;
-            default -> throw new SimulatorProtocolException("outcome '" + name + "' is unknown");
+            default -> throw new SimulatorProtocolException("unknown outcome '" + name + "'");
         };
     }
 
@@ -69,7 +72,8 @@
             case 2 -> EndpointListType.DELTA;
             case 3 -> EndpointListType.FAILED;
             case 4 -> EndpointListType.CACHED;
-            default -> throw new SimulatorProtocolException("ANNOUNCE mode " + code + " is unknown");
+            default -> throw new SimulatorProtocolException(
+                    "expected ANNOUNCE mode 0, 2, 3 or 4 but found '" + code + "'");
         };
     }
 
@@ -78,7 +82,8 @@
             case 0 -> EndpointState.REMOVED;
             case 1 -> EndpointState.READY;
             case 2 -> EndpointState.DRAINING;
-            default -> throw new SimulatorProtocolException("endpoint state " + code + " is unknown");
+            default -> throw new SimulatorProtocolException(
+                    "expected endpoint state 0, 1 or 2 but found '" + code + "'");
         };
     }
 }
--- a/src/main/java/loadbalancer/simulator/package-info.java
+++ b/src/main/java/loadbalancer/simulator/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Hosts decision modules for the simulator: events come by standard input, actions go to standard output. Owns the wire
- * (its message names, the syntax of its lines) and the life of the hosted instances. It decides nothing about a
- * request, shares nothing between instances, knows no clock but that of the batches, and opens no socket.
+ * Hosts decision modules for the simulator: events are read from standard input and actions are written to standard
+ * output. This package defines the simulator's wire (the message names and the syntax of the lines) and starts and
+ * stops the hosted instances. It makes no decision about a request, shares no state between instances, uses only the
+ * time stated in each batch, and opens no socket.
  */
 package loadbalancer.simulator;
--- a/src/test/java/loadbalancer/simulation/PolicyCostsTest.java
+++ b/src/test/java/loadbalancer/simulation/PolicyCostsTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Every cost of a decision module can be measured; the values depend on the machine. */
+/** Verifies that every cost of a decision module can be measured; the values depend on the machine. */
 class PolicyCostsTest {
-    /** Without gossip of another module, which its gossip timer has to send, nothing could be measured. */
+    /** The measurements need gossip of another module, so that they fail if its gossip timer sends none. */
     @Test
-    void costsOfASmallFleetAreMeasured() {
+    void measuresCostsOfSmallFleet() {
         PolicyCosts costs = new PolicyCosts(3, 4);
         assertTrue(costs.requestMicros() > 0);
-        assertTrue(costs.resolveMicros() > 0);
+        assertTrue(costs.requestWithRecomputeMicros() > 0);
         assertTrue(costs.outcomeMicros() > 0);
         assertTrue(costs.gossipMicros() > 0);
         assertTrue(costs.deltaMicros() > 0);
--- a/src/test/java/loadbalancer/simulation/SimulatedFleetTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulatedFleetTest.java
@@ -7,11 +7,13 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** A simulated fleet is deterministic, and its sidecars estimate the fleet's rate well. */
+/**
+ * Verifies that a simulated fleet is deterministic, and that its sidecars estimate the fleet's request rate accurately.
+ */
 class SimulatedFleetTest {
-    /** A summary of the history of one fleet with restarts. */
-    private static String history(long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(new FleetShape(30, 20, 0.6, 4, 1_000_000, 0.2, seed));
+    /** Returns a summary of a run of a fleet in which an endpoint and a sidecar restart. */
+    private static String runSummary(long seed) {
+        SimulatedFleet fleet = new SimulatedFleet(new FleetParameters(30, 20, 0.6, 4, 1_000_000, 0.2, seed));
         fleet.run(2);
         fleet.restartEndpoint(3);
         fleet.restartSidecar(7);
@@ -24,24 +26,26 @@
     }
 
     @Test
-    void sameSeedGivesSameHistory() {
-        assertEquals(history(5), history(5));
-        assertNotEquals(history(5), history(6));
+    void repeatsRunWithSameSeed() {
+        assertEquals(runSummary(5), runSummary(5));
+        assertNotEquals(runSummary(5), runSummary(6));
     }
 
-    /** The first request right after a start must not count as a high rate. */
+    /** Guards against estimating a high rate from the first request right after the start of a sidecar. */
     @Test
-    void rateEstimatesSurviveAMassRestart() {
-        SimulatedFleet fleet = new SimulatedFleet(new FleetShape(100, 100, 0.6, 4, 0, 0, 3));
+    void estimatesFleetRateAfterMassRestart() {
+        SimulatedFleet fleet = new SimulatedFleet(new FleetParameters(100, 100, 0.6, 4, 0, 0, 3));
         fleet.run(5.5);
         for (int i = 0; i < 70; i++) {
             fleet.restartSidecar(i);
         }
         fleet.run(5.5);
         double[] errors = fleet.rateEstimateErrors();
-        assertTrue(errors.length > 90, errors.length + " have an estimate");
+        assertTrue(errors.length > 90, errors.length + " sidecars have an estimate");
         double median = errors[errors.length / 2];
-        double worst = errors[errors.length - 1];
-        assertTrue(median < 0.1 && worst < 0.4, "off by " + median + " in the median and " + worst + " at worst");
+        double max = errors[errors.length - 1];
+        assertTrue(
+                median < 0.1 && max < 0.4,
+                "median error " + median + " and maximum error " + max + " of the rate estimates");
     }
 }
--- a/src/test/java/loadbalancer/simulation/SimulatedSlowStartTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulatedSlowStartTest.java
@@ -6,19 +6,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * An endpoint in slow start fails from N + 2 x root of N + 2 requests in an overload window on, over the sum of all
- * sidecars. The sidecars are notified of a start up to 4.6 s apart, some are restarted meanwhile, and traffic is
- * unequal.
+ * Verifies that all sidecars together do not overload an endpoint in slow start. The test regards an endpoint as
+ * overloaded if more than N + 2 sqrt(N) + 2 requests arrive in an overload window, where N is the budget of the window.
+ * The sidecars are notified of a start up to 4.6 s apart, some of them restart in the meantime, and their request rates
+ * differ.
  */
 class SimulatedSlowStartTest {
     @ParameterizedTest
     @CsvSource({"20, 12", "30, 20", "100, 60"})
-    void allSidecarsTogetherKeepToTheBudgetOfEachEndpoint(int sidecarCount, int endpointCount) {
+    void keepsRequestsOfAllSidecarsWithinBudgetOfEachEndpoint(int sidecarCount, int endpointCount) {
         for (long seed = 1; seed <= 3; seed++) {
             SimulatedFleet fleet =
-                    new SimulatedFleet(new FleetShape(sidecarCount, endpointCount, 0.6, 4, 4_600_000, 0.1, seed));
+                    new SimulatedFleet(new FleetParameters(sidecarCount, endpointCount, 0.6, 4, 4_600_000, 0.1, seed));
             fleet.run(4);
-            double worstExcess = Double.NEGATIVE_INFINITY;
+            double maxExcess = Double.NEGATIVE_INFINITY;
             long requests = 0;
             double capacity = 0;
             for (int i = 0; i < endpointCount / 2; i++) {
@@ -28,14 +29,18 @@
             }
             fleet.run(12);
             for (SimulatedEndpoint endpoint : fleet.endpoints()) {
-                worstExcess = Math.max(worstExcess, endpoint.worstBudgetExcess());
+                maxExcess = Math.max(maxExcess, endpoint.maxBudgetExcess());
                 requests += endpoint.slowStartRequests();
                 capacity += endpoint.slowStartCapacity();
             }
-            assertTrue(worstExcess <= 0, "seed " + seed + ": " + worstExcess + " requests over the budget and chance");
+            assertTrue(
+                    maxExcess <= 0,
+                    "seed " + seed + ": " + maxExcess
+                            + " requests above the budget and its allowance for random variation");
             assertTrue(
                     requests > 0.4 * capacity,
-                    "seed " + seed + ": endpoints in slow start got " + requests + " of " + capacity);
+                    "seed " + seed + ": endpoints in slow start received " + requests + " requests of a capacity of "
+                            + capacity);
         }
     }
 }
--- a/src/test/java/loadbalancer/simulator/FieldReaderTest.java
+++ b/src/test/java/loadbalancer/simulator/FieldReaderTest.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Fields of a line are read in order and by type; malformed ones are named. */
+/** Verifies that the fields of a line are read in order and by type, and that errors contain a malformed field. */
 class FieldReaderTest {
-    private static void assertInvalid(String line, String message) {
+    private static void assertInvalid(String line, String expectedMessage) {
         FieldReader fields = new FieldReader(line);
         assertEquals(
-                message,
+                expectedMessage,
                 assertThrows(SimulatorProtocolException.class, fields::integer).getMessage());
     }
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void absentFieldsAndTheEndOfTheLineGiveTheDefault() {
+    void returnsDefaultForAbsentFieldsAndAtEndOfLine() {
         FieldReader fields = new FieldReader("- - -");
         assertNull(fields.textOrNull());
         assertEquals(7, fields.integerOr(7));
@@ -40,24 +40,26 @@
     }
 
     @Test
-    void wholeDecimalsAreIntegers() {
+    void readsIntegralDecimalsAsIntegers() {
         assertEquals(1_000_000, new FieldReader("1e6").integer());
         assertEquals(3, new FieldReader("3.0").integer());
         assertEquals(999_999_999_999_999_999L, new FieldReader("999999999999999999").integer());
     }
 
     @Test
-    void malformedIntegersAreNamedWithTheirLine() {
-        assertInvalid("1.5", "'1.5' is no integer in '1.5'");
-        assertInvalid("1234567890123456789", "'1234567890123456789' is no integer in '1234567890123456789'");
-        assertInvalid("x", "'x' is no number in 'x'");
-        assertInvalid("NaN", "'NaN' is no number in 'NaN'");
-        assertInvalid("", "too few fields in ''");
-        assertInvalid(" 1", "empty field in ' 1'");
+    void namesMalformedIntegersAndTheirLines() {
+        assertInvalid("1.5", "expected an integer but found '1.5' in line '1.5'");
+        assertInvalid(
+                "1234567890123456789",
+                "expected an integer but found '1234567890123456789' in line '1234567890123456789'");
+        assertInvalid("x", "expected a number but found 'x' in line 'x'");
+        assertInvalid("NaN", "expected a number but found 'NaN' in line 'NaN'");
+        assertInvalid("", "too few fields in line ''");
+        assertInvalid(" 1", "empty field in line ' 1'");
     }
 
     @Test
-    void restOfTheLineIsReadAsPairs() {
+    void readsRemainingFieldsAsPairs() {
         FieldReader fields = new FieldReader("ENLIST me=0 zone=a=b");
         fields.text();
         assertEquals(Map.of("me", "0", "zone", "a=b"), fields.remainingPairs());
--- a/src/test/java/loadbalancer/simulator/SimulatorHostTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorHostTest.java
@@ -9,9 +9,12 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Batches are answered with the actions of their instances, and invalid input with one line. */
+/**
+ * Verifies that the reply to a batch contains the actions of its instances, and that invalid input gives one error
+ * line.
+ */
 class SimulatorHostTest {
-    /** Name of the decision module's timer that sends gossip. */
+    /** Name of the decision module's timer for sending gossip. */
     private static final String GOSSIP_TIMER = "gossip";
 
     private static final String SETTINGS = "me=0 balancers=2 zone=z kinds=k azs=z profiles.count=1 profiles.0.name=c "
@@ -39,15 +42,15 @@
         errors = errorBytes.toString(StandardCharsets.UTF_8);
     }
 
-    private void assertInvalid(String input, String expectedPart) throws Exception {
+    private void assertInvalid(String input, String expectedText) throws Exception {
         run(input);
         assertEquals(1, exitStatus);
         assertEquals(1, errors.lines().count(), errors);
-        assertTrue(errors.contains(expectedPart), errors);
+        assertTrue(errors.contains(expectedText), errors);
     }
 
     @Test
-    void requestIsForwardedAndUnknownSettingSkipped() throws Exception {
+    void forwardsRequestAndIgnoresUnknownSetting() throws Exception {
         run(START + REQUEST);
         assertEquals(0, exitStatus, errors);
         assertTrue(output.contains("BY sidecar-0\nASSIGN 0f up_a 802000\n"), output);
@@ -55,7 +58,7 @@
     }
 
     @Test
-    void connectionCloseAndGossipToAllAreWritten() throws Exception {
+    void closesConnectionsAndSendsGossipIfConfigured() throws Exception {
         for (boolean configured : new boolean[] {true, false}) {
             String start = configured
                     ? START.replace(UNKNOWN_SETTING, "rules.close_on_drain_within_us=500000 limits.peers=true")
@@ -75,14 +78,14 @@
     }
 
     @Test
-    void emptyBatchIsAnswered() throws Exception {
+    void repliesToEmptyBatch() throws Exception {
         run("MARK 7\nEND\n");
         assertEquals("OK\n", output);
         assertEquals(0, exitStatus);
     }
 
     @Test
-    void eventsOfUnknownRequestsAreAccepted() throws Exception {
+    void acceptsEventsOfUnknownRequests() throws Exception {
         run(START + "MARK 2000\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - c\n"
                 + "REPORT_BACK ff 0 up_x GOOD 5 1 -\nEXPIRED ee\nEND\n"
                 + "MARK 9000\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a GOOD 7000 1 0,1\nMAIL 1 AAAA\nEND\n");
@@ -91,12 +94,12 @@
     }
 
     @Test
-    void invalidInputIsReportedInOneLine() throws Exception {
-        assertInvalid("HELLO\n", "MARK");
-        assertInvalid("MARK x\nEND\n", "no number");
+    void reportsInvalidInputInOneLine() throws Exception {
+        assertInvalid("HELLO\n", "expected MARK at the start of a batch but found 'HELLO'");
+        assertInvalid("MARK x\nEND\n", "expected a number but found 'x'");
         assertInvalid("MARK 5\n", "ended within a batch");
         assertInvalid("MARK 5\nINSTANCE sidecar-0\nACCEPT 1\nEND\n", "has not started");
-        assertInvalid("MARK 5\nACCEPT 1\nEND\n", "before any INSTANCE");
+        assertInvalid("MARK 5\nACCEPT 1\nEND\n", "expected an INSTANCE line before 'ACCEPT'");
         assertInvalid(START + "MARK 6\nINSTANCE sidecar-0\nDANCE\nEND\n", "unknown");
         assertInvalid(START + "MARK 6\nINSTANCE sidecar-0\nACCEPT 0f\nEND\n", "too few fields");
         assertInvalid(START + "MARK 6\nINSTANCE sidecar-0\nREPORT_BACK 0f 0 up_a FINE 5 1 -\nEND\n", "FINE");
@@ -105,14 +108,14 @@
     }
 
     @Test
-    void exceptionOfTheModuleIsReportedWithItsCause() throws Exception {
+    void reportsExceptionOfDecisionModule() throws Exception {
         run(START + "MARK 6\nINSTANCE sidecar-0\nACCEPT 0f - 0 0 - 800000 - nosuch\nEND\n");
         assertEquals(0, exitStatus);
         assertTrue(output.contains("DIE ") && output.contains("nosuch"), output);
     }
 
     @Test
-    void stoppedInstanceStartsAnew() throws Exception {
+    void restartsStoppedInstance() throws Exception {
         run(START + "MARK 6\nINSTANCE sidecar-0\nDOWN\nENLIST 6 " + SETTINGS + "\nANNOUNCE 4 1 3\n"
                 + "ACCEPT 0f - 0 0 - 800000 - c\nEND\n");
         assertEquals(0, exitStatus, errors);
