--- a/src/test/java/loadbalancer/decision/AdmissionControlTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionControlTest.java
@@ -23,10 +23,10 @@
             fixture.sidecarCount = sidecarCount;
             fixture.loadReporting = LoadReporting.NONE;
             fixture.latencyObjectiveMicros = 700_000;
-            fixture.start().listed(A, B);
+            fixture.start().receiveFullSnapshot(A, B);
             for (int i = 0; i < 200; i++) {
                 fixture.clearActions();
-                fixture.advance(700_000).request("r" + i);
+                fixture.advanceMicros(700_000).request("r" + i);
                 String endpoint = fixture.endpointOf("r" + i, 0);
                 assertNotNull(endpoint, sidecarCount + " sidecars, request " + i);
                 fixture.outcome("r" + i, 0, endpoint, AttemptOutcome.OK, i < 100 ? 100_000 : 300_000);
@@ -37,26 +37,26 @@
     /** A sidecar's own requests do not show a queue that other sidecars have filled; gossip shows it. */
     @Test
     void shedsLoadThatTheFleetCannotServeInTime() {
-        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
+        PolicyFixture fixture = PolicyFixture.oneOfFourteenSidecars();
         assertEquals(0, rejectedOfFortyRequests(fixture), "rejections before the first gossip");
-        fixture.gossipFromThirteenSidecars(10, 0.1);
+        fixture.receiveGossipFromThirteenSidecars(10, 0.1);
         assertEquals(0, rejectedOfFortyRequests(fixture), "rejections while little is in flight");
-        fixture.gossipFromThirteenSidecars(100, 20);
+        fixture.receiveGossipFromThirteenSidecars(100, 20);
         assertEquals(
                 40,
                 rejectedOfFortyRequests(fixture),
                 "rejections while far more is in flight than can be served in time");
-        fixture.advance(10_000_000);
+        fixture.advanceMicros(10_000_000);
         assertEquals(0, rejectedOfFortyRequests(fixture), "rejections after the gossip has expired");
     }
 
     @Test
     void ignoresImplausibleInFlightCountsInGossip() {
-        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
-        fixture.gossipFromThirteenSidecars(0, 60_000);
+        PolicyFixture fixture = PolicyFixture.oneOfFourteenSidecars();
+        fixture.receiveGossipFromThirteenSidecars(0, 60_000);
         assertTrue(rejectedOfFortyRequests(fixture) < 40);
-        fixture.advance(10_000_000);
-        fixture.gossipFromThirteenSidecars(1, 0);
+        fixture.advanceMicros(10_000_000);
+        fixture.receiveGossipFromThirteenSidecars(1, 0);
         assertEquals(0, rejectedOfFortyRequests(fixture));
     }
 
@@ -65,10 +65,10 @@
         fixture.clearActions();
         for (int i = 0; i < 40; i++) {
             String id = "r" + fixture.nowMicros;
-            fixture.advance(100_000).request(id);
+            fixture.advanceMicros(100_000).request(id);
             String endpoint = fixture.endpointOf(id, 0);
             if (endpoint != null) {
-                fixture.advance(20_000).outcome(id, 0, endpoint, AttemptOutcome.OK, 20_000);
+                fixture.advanceMicros(20_000).outcome(id, 0, endpoint, AttemptOutcome.OK, 20_000);
             }
         }
         return fixture.rejectedRequests().size();
--- a/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
+++ b/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
@@ -19,7 +19,7 @@
     void failsNonIdempotentRequestThatMayHaveRun() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
-        fixture.start().listed(A, B).request("r").advance(10_000);
+        fixture.start().receiveFullSnapshot(A, B).request("r").advanceMicros(10_000);
         fixture.outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
         assertEquals(1, fixture.attemptCount("r"));
         assertEquals(1, fixture.failureCount("r"));
@@ -30,7 +30,7 @@
     void retriesNonIdempotentRequestThatCannotHaveRun() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
-        fixture.start().listed(A, B).request("r").advance(10_000);
+        fixture.start().receiveFullSnapshot(A, B).request("r").advanceMicros(10_000);
         fixture.outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.CONNECT_FAILED, 10_000);
         assertNotNull(fixture.endpointOf("r", 1));
         assertNotEquals(fixture.endpointOf("r", 0), fixture.endpointOf("r", 1));
@@ -44,9 +44,9 @@
             fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
             fixture.deduplicationScope = DeduplicationScope.ZONE;
             fixture.start()
-                    .listed(A, B, PolicyFixture.endpoint("c", "zb", 3))
+                    .receiveFullSnapshot(A, B, PolicyFixture.endpoint("c", "zb", 3))
                     .request("r")
-                    .advance(10_000);
+                    .advanceMicros(10_000);
             String first = fixture.endpointOf("r", 0);
             fixture.outcome("r", 0, first, AttemptOutcome.RESET, 10_000);
             String second = fixture.endpointOf("r", 1);
@@ -63,9 +63,9 @@
         fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
         fixture.deduplicationScope = DeduplicationScope.CELL;
         fixture.start()
-                .listed(A, B)
+                .receiveFullSnapshot(A, B)
                 .request("r")
-                .advance(10_000)
+                .advanceMicros(10_000)
                 .outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
         String second = fixture.endpointOf("r", 1);
         assertTrue(second == null || second.equals(fixture.endpointOf("r", 0)));
@@ -75,9 +75,9 @@
         afterWindow.deduplicationWindowMicros = 5_000;
         afterWindow
                 .start()
-                .listed(A, B)
+                .receiveFullSnapshot(A, B)
                 .request("r")
-                .advance(10_000)
+                .advanceMicros(10_000)
                 .outcome("r", 0, afterWindow.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
         assertNull(afterWindow.endpointOf("r", 1));
         // The request may have run, and no endpoint would deduplicate a retry any more. It must not be rejected either,
@@ -96,7 +96,7 @@
             PolicyFixture fixture = new PolicyFixture();
             fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
             fixture.deduplicationWindowMicros = windowMicros;
-            fixture.start().listed(A, B).request("r").advance(10_000);
+            fixture.start().receiveFullSnapshot(A, B).request("r").advanceMicros(10_000);
             fixture.outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
             assertEquals(
                     windowMicros > 260_000,
@@ -109,9 +109,12 @@
     void limitsNumberOfAttempts() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.maxAttempts = 2;
-        fixture.start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3)).request("r");
+        fixture.start()
+                .receiveFullSnapshot(A, B, PolicyFixture.endpoint("c", "zc", 3))
+                .request("r");
         for (int i = 0; i < 2; i++) {
-            fixture.advance(1_000).outcome("r", i, fixture.endpointOf("r", i), AttemptOutcome.CONNECT_FAILED, 1_000);
+            fixture.advanceMicros(1_000)
+                    .outcome("r", i, fixture.endpointOf("r", i), AttemptOutcome.CONNECT_FAILED, 1_000);
         }
         assertEquals(2, fixture.attemptCount("r"));
         assertEquals(1, fixture.rejectionCount("r"));
--- a/src/test/java/loadbalancer/decision/DeterminismTest.java
+++ b/src/test/java/loadbalancer/decision/DeterminismTest.java
@@ -16,10 +16,11 @@
 
     @Test
     void repeatsActionsForSameEventsBesideOtherInstance() {
-        PolicyFixture alone = new PolicyFixture().start().listed(A, B);
+        PolicyFixture alone = new PolicyFixture().start().receiveFullSnapshot(A, B);
         sendEvents(alone, 0, 200);
-        PolicyFixture first = new PolicyFixture().start().listed(A, B);
-        PolicyFixture second = new PolicyFixture().start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
+        PolicyFixture first = new PolicyFixture().start().receiveFullSnapshot(A, B);
+        PolicyFixture second =
+                new PolicyFixture().start().receiveFullSnapshot(A, B, PolicyFixture.endpoint("c", "zc", 3));
         for (int i = 0; i < 200; i += 10) {
             sendEvents(first, i, i + 10);
             sendEvents(second, i, i + 10);
@@ -30,7 +31,7 @@
 
     private static void sendEvents(PolicyFixture fixture, int from, int to) {
         for (int i = from; i < to; i++) {
-            fixture.advance(3_000).request("r" + i);
+            fixture.advanceMicros(3_000).request("r" + i);
             if (i % 3 == 0 && fixture.endpointOf("r" + i, 0) != null) {
                 fixture.outcome(
                         "r" + i,
@@ -39,7 +40,7 @@
                         i % 9 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
                         70_000);
             }
-            fixture.fire(SWEEP_TIMER);
+            fixture.fireTimer(SWEEP_TIMER);
         }
     }
 }
--- a/src/test/java/loadbalancer/decision/DiscoveryPollerTest.java
+++ b/src/test/java/loadbalancer/decision/DiscoveryPollerTest.java
@@ -15,14 +15,14 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.polledDiscovery = true;
         fixture.start();
-        assertEquals(1, fixture.pollCount());
-        fixture.endpointList(EndpointListType.FAILED);
+        assertEquals(1, fixture.discoveryPollCount());
+        fixture.receiveEndpointList(EndpointListType.FAILED);
         assertEquals(1, fixture.timerDelaysMicros(DISCOVERY_TIMER).size());
-        fixture.advance(2_000_000).fire(DISCOVERY_TIMER);
-        assertEquals(2, fixture.pollCount());
-        fixture.endpointList(EndpointListType.FULL, A);
-        fixture.fire(DISCOVERY_TIMER);
-        assertEquals(2, fixture.pollCount());
+        fixture.advanceMicros(2_000_000).fireTimer(DISCOVERY_TIMER);
+        assertEquals(2, fixture.discoveryPollCount());
+        fixture.receiveEndpointList(EndpointListType.FULL, A);
+        fixture.fireTimer(DISCOVERY_TIMER);
+        assertEquals(2, fixture.discoveryPollCount());
     }
 
     /**
@@ -38,13 +38,13 @@
             fixture.start();
             for (int failures = 0; failures < 30; failures++) {
                 fixture.clearActions();
-                fixture.endpointList(EndpointListType.FAILED);
+                fixture.receiveEndpointList(EndpointListType.FAILED);
                 long delayMicros = fixture.timerDelaysMicros(DISCOVERY_TIMER).get(0);
                 assertTrue(
                         delayMicros >= 250_000 && delayMicros <= 1_500_000,
                         "delay before the next poll: " + delayMicros + " us");
-                fixture.advance(delayMicros).fire(DISCOVERY_TIMER);
-                assertEquals(1, fixture.pollCount());
+                fixture.advanceMicros(delayMicros).fireTimer(DISCOVERY_TIMER);
+                assertEquals(1, fixture.discoveryPollCount());
             }
         }
     }
--- a/src/test/java/loadbalancer/decision/EndpointRegistryTest.java
+++ b/src/test/java/loadbalancer/decision/EndpointRegistryTest.java
@@ -11,11 +11,12 @@
 
     @Test
     void sendsNothingToDrainingAndRemovedEndpoints() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
-        fixture.endpointList(EndpointListType.DELTA, new Endpoint("a", "za", "k", 1, 0, 1, EndpointState.DRAINING));
+        PolicyFixture fixture = new PolicyFixture().start().receiveFullSnapshot(A, B);
+        fixture.receiveEndpointList(
+                EndpointListType.DELTA, new Endpoint("a", "za", "k", 1, 0, 1, EndpointState.DRAINING));
         fixture.request("r1").request("r2");
-        fixture.endpointList(EndpointListType.FULL, A);
-        fixture.advance(1).request("r3");
+        fixture.receiveEndpointList(EndpointListType.FULL, A);
+        fixture.advanceMicros(1).request("r3");
         assertEquals("b", fixture.endpointOf("r1", 0));
         assertEquals("b", fixture.endpointOf("r2", 0));
         assertEquals("a", fixture.endpointOf("r3", 0));
@@ -24,10 +25,10 @@
     /** Replacements have new ids, so removed endpoints that are never discarded would fill the memory. */
     @Test
     void discardsRemovedEndpointAfterItsLastAttempt() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A);
+        PolicyFixture fixture = new PolicyFixture().start().receiveFullSnapshot(A);
         fixture.request("r");
         for (int i = 0; i < 50; i++) {
-            fixture.endpointList(
+            fixture.receiveEndpointList(
                     EndpointListType.DELTA,
                     PolicyFixture.endpoint("n" + i, "za", 1),
                     PolicyFixture.withState(
@@ -36,7 +37,7 @@
         assertEquals(2, fixture.endpointCount());
         fixture.outcome("r", 0, "a", AttemptOutcome.OK, 1_000);
         assertEquals(1, fixture.endpointCount());
-        fixture.listed(B);
+        fixture.receiveFullSnapshot(B);
         assertEquals(1, fixture.endpointCount());
     }
 }
--- a/src/test/java/loadbalancer/decision/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/decision/EndpointSubsetTest.java
@@ -29,10 +29,10 @@
             fixture.sidecarCount = sidecarCount;
             fixture.connectionPrice = 0.05;
             fixture.loadReporting = LoadReporting.NONE;
-            fixture.start().listed(endpoints.toArray(new Endpoint[0]));
+            fixture.start().receiveFullSnapshot(endpoints.toArray(new Endpoint[0]));
             Set<String> usedEndpoints = new HashSet<>();
             for (int j = 0; j < 40; j++) {
-                fixture.advance(200_000).request("r" + j);
+                fixture.advanceMicros(200_000).request("r" + j);
                 usedEndpoints.add(fixture.endpointOf("r" + j, 0));
                 fixture.outcome("r" + j, 0, fixture.endpointOf("r" + j, 0), AttemptOutcome.OK, 75_000);
             }
--- a/src/test/java/loadbalancer/decision/FinalResponseTest.java
+++ b/src/test/java/loadbalancer/decision/FinalResponseTest.java
@@ -21,7 +21,7 @@
         PolicyFixture fixture = new PolicyFixture().start();
         fixture.request("r");
         for (int i = 0; i < 100; i++) {
-            fixture.advance(5_000).fire(SWEEP_TIMER);
+            fixture.advanceMicros(5_000).fireTimer(SWEEP_TIMER);
         }
         assertEquals(List.of("r"), fixture.rejectedRequests());
         assertTrue(fixture.failedRequests().isEmpty());
@@ -39,17 +39,22 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
         fixture.deduplicationScope = DeduplicationScope.ZONE;
-        fixture.start().listed(A).request("r").advance(800_000).outcome("r", 0, "a", AttemptOutcome.TIMEOUT, 800_000);
+        fixture.start()
+                .receiveFullSnapshot(A)
+                .request("r")
+                .advanceMicros(800_000)
+                .outcome("r", 0, "a", AttemptOutcome.TIMEOUT, 800_000);
         assertEquals(1, fixture.failureCount("r"));
         assertEquals(1, fixture.attemptCount("r"));
     }
 
     @Test
     void doesNotRetryOrRespondAfterClientHasLeft() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
+        PolicyFixture fixture = new PolicyFixture().start().receiveFullSnapshot(A, B);
         fixture.request("r");
         fixture.expire("r");
-        fixture.advance(10_000).outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.CONNECT_FAILED, 10_000);
+        fixture.advanceMicros(10_000)
+                .outcome("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.CONNECT_FAILED, 10_000);
         assertEquals(1, fixture.attemptCount("r"));
         assertTrue(
                 fixture.failedRequests().isEmpty() && fixture.rejectedRequests().isEmpty());
@@ -59,7 +64,7 @@
     void doesNotRetryOrRespondAfterStreamHasStarted() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.streaming = true;
-        fixture.start().listed(A, B).request("r");
+        fixture.start().receiveFullSnapshot(A, B).request("r");
         fixture.streamStart("r", 0, fixture.endpointOf("r", 0), 5_000);
         fixture.outcome(new AttemptResult("r", 0, fixture.endpointOf("r", 0), AttemptOutcome.RESET, 9_000, true, null));
         assertEquals(1, fixture.attemptCount());
@@ -76,9 +81,9 @@
             PolicyFixture fixture = new PolicyFixture();
             fixture.maxAttempts = 1;
             fixture.start()
-                    .listed(A, B)
+                    .receiveFullSnapshot(A, B)
                     .request("r")
-                    .advance(10_000)
+                    .advanceMicros(10_000)
                     .outcome("r", 0, fixture.endpointOf("r", 0), outcome, 10_000);
             assertEquals(outcome.mayHaveRun ? 1 : 0, fixture.failureCount("r"), outcome.name());
             assertEquals(outcome.mayHaveRun ? 0 : 1, fixture.rejectionCount("r"), outcome.name());
@@ -88,7 +93,7 @@
     /** Every endpoint would refuse an invalid request, so a retry is useless, and no endpoint is ejected for it. */
     @Test
     void failsInvalidRequestWithoutRetry() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
+        PolicyFixture fixture = new PolicyFixture().start().receiveFullSnapshot(A, B);
         for (int i = 0; i < 6; i++) {
             fixture.request("r" + i)
                     .outcome("r" + i, 0, fixture.endpointOf("r" + i, 0), AttemptOutcome.INVALID_REQUEST, 1_000);
--- a/src/test/java/loadbalancer/decision/GossipSenderTest.java
+++ b/src/test/java/loadbalancer/decision/GossipSenderTest.java
@@ -20,25 +20,25 @@
     @Test
     void doesNotInflateSentRateAfterStart() {
         PolicyFixture fixture = new PolicyFixture();
-        fixture.start().listed(A, B);
-        fixture.advance(20).request("first");
+        fixture.start().receiveFullSnapshot(A, B);
+        fixture.advanceMicros(20).request("first");
         for (int i = 0; i < 10; i++) {
-            fixture.advance(i == 0 ? 99_980 : 100_000).request("r" + i);
-            fixture.fire(GOSSIP_TIMER);
+            fixture.advanceMicros(i == 0 ? 99_980 : 100_000).request("r" + i);
+            fixture.fireTimer(GOSSIP_TIMER);
             assertTrue(
-                    fixture.lastGossipRate() < 30,
-                    "10 requests per second arrive, but the sent rate is " + fixture.lastGossipRate());
+                    fixture.lastGossipRatePerSecond() < 30,
+                    "10 requests per second arrive, but the sent rate is " + fixture.lastGossipRatePerSecond());
         }
-        assertEquals(10, fixture.lastGossipRate(), 3);
+        assertEquals(10, fixture.lastGossipRatePerSecond(), 3);
     }
 
     @Test
     void sendsToAllSidecarsIfTrafficJustifiesPrice() {
-        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
+        PolicyFixture fixture = PolicyFixture.oneOfFourteenSidecars();
         for (int i = 0; i < 400; i++) {
-            fixture.advance(5_000).request("r" + i);
+            fixture.advanceMicros(5_000).request("r" + i);
         }
-        fixture.fire(GOSSIP_TIMER);
+        fixture.fireTimer(GOSSIP_TIMER);
         assertEquals(ALL_SIDECARS, fixture.gossipTargets().get(0));
         assertEquals(1, fixture.gossipTargets().size());
     }
@@ -48,20 +48,20 @@
     void sendsToOneSidecarPerIntervalIfTrafficIsLow() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.sidecarCount = 500;
-        fixture.start().listed(A, B).fire(GOSSIP_TIMER);
+        fixture.start().receiveFullSnapshot(A, B).fireTimer(GOSSIP_TIMER);
         assertEquals(1, fixture.gossipTargets().size());
         assertNotEquals(ALL_SIDECARS, fixture.gossipTargets().get(0));
         assertNotEquals(0, fixture.gossipTargets().get(0));
-        fixture.advance(1_000_000).fire(GOSSIP_TIMER);
+        fixture.advanceMicros(1_000_000).fireTimer(GOSSIP_TIMER);
         assertEquals(2, fixture.gossipTargets().size());
     }
 
     @Test
     void ignoresMalformedGossip() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A);
-        fixture.gossipReceived(9, new byte[] {1, 2, 3, 4, 5});
-        fixture.gossipReceived(1, new byte[] {1});
-        fixture.gossipReceived(1, new byte[] {1, 2, 3, 4});
+        PolicyFixture fixture = new PolicyFixture().start().receiveFullSnapshot(A);
+        fixture.receiveGossip(9, new byte[] {1, 2, 3, 4, 5});
+        fixture.receiveGossip(1, new byte[] {1});
+        fixture.receiveGossip(1, new byte[] {1, 2, 3, 4});
         fixture.request("r");
         assertEquals("a", fixture.endpointOf("r", 0));
     }
--- a/src/test/java/loadbalancer/decision/HedgingPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/HedgingPolicyTest.java
@@ -1,7 +1,7 @@
 package loadbalancer.decision;
 
+import static loadbalancer.decision.PolicyFixture.HEALTH_CHECK_DUE_TIMER_PREFIX;
 import static loadbalancer.decision.PolicyFixture.OVERDUE_TIMER_PREFIX;
-import static loadbalancer.decision.PolicyFixture.UNRESPONSIVE_TIMER_PREFIX;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
@@ -18,7 +18,7 @@
         for (boolean hedging : new boolean[] {false, true}) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.hedging = hedging;
-            fixture.start().listed(A, B).request("r");
+            fixture.start().receiveFullSnapshot(A, B).request("r");
             String other = fixture.endpointOf("r", 0).equals("a") ? "b" : "a";
             assertEquals(hedging, fixture.maySend("r", other));
         }
@@ -35,30 +35,30 @@
                 PolicyFixture fixture = new PolicyFixture();
                 fixture.healthChecks = fixture.hedging = true;
                 fixture.idempotency = idempotency;
-                fixture.start().listed(A, B);
+                fixture.start().receiveFullSnapshot(A, B);
                 for (int i = 0; i < 20; i++) {
                     // Fills the budget for a hedged request, and reports that both endpoints are idle.
-                    fixture.request("w" + i).advance(1_000);
+                    fixture.request("w" + i).advanceMicros(1_000);
                     for (String id : new String[] {"a", "b"}) {
                         fixture.healthCheckReply(id, new LoadReport(0, 0, 0));
                     }
                     fixture.outcome("w" + i, 0, fixture.endpointOf("w" + i, 0), AttemptOutcome.OK, 50_000);
                 }
-                fixture.request("r").advance(1_000);
+                fixture.request("r").advanceMicros(1_000);
                 for (String id : new String[] {"a", "b"}) {
                     fixture.healthCheckReply(id, new LoadReport(0, 0, 0));
                 }
                 String endpoint = fixture.endpointOf("r", 0);
                 fixture.clearActions();
-                fixture.advance(150_000).fire(OVERDUE_TIMER_PREFIX + "r");
+                fixture.advanceMicros(150_000).fireTimer(OVERDUE_TIMER_PREFIX + "r");
                 if (idempotency == Idempotency.IDEMPOTENT) {
-                    assertEquals(List.of(endpoint), fixture.healthChecks());
+                    assertEquals(List.of(endpoint), fixture.checkedEndpoints());
                 }
-                fixture.advance(5_000);
+                fixture.advanceMicros(5_000);
                 if (!unresponsive) {
                     fixture.healthCheckReply(endpoint, new LoadReport(1, 0, 1));
                 }
-                fixture.fire(UNRESPONSIVE_TIMER_PREFIX + "r");
+                fixture.fireTimer(HEALTH_CHECK_DUE_TIMER_PREFIX + "r");
                 assertEquals(unresponsive && idempotency == Idempotency.IDEMPOTENT ? 1 : 0, fixture.attemptCount("r"));
             }
         }
--- a/src/test/java/loadbalancer/decision/IdleConnectionPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/IdleConnectionPolicyTest.java
@@ -15,15 +15,15 @@
         for (long closeOnDrainMicros : new long[] {0, 500_000}) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.closeOnDrainMicros = closeOnDrainMicros;
-            fixture.start().listed(A).request("r").request("s");
-            fixture.endpointList(EndpointListType.DELTA, PolicyFixture.withState(A, EndpointState.DRAINING));
-            assertEquals(closeOnDrainMicros > 0 ? 1 : 0, fixture.closeCount("a"));
-            fixture.advance(50_000).outcome("r", 0, "a", AttemptOutcome.OK, 50_000);
-            assertEquals(closeOnDrainMicros > 0 ? 2 : 0, fixture.closeCount("a"));
+            fixture.start().receiveFullSnapshot(A).request("r").request("s");
+            fixture.receiveEndpointList(EndpointListType.DELTA, PolicyFixture.withState(A, EndpointState.DRAINING));
+            assertEquals(closeOnDrainMicros > 0 ? 1 : 0, fixture.connectionCloseCount("a"));
+            fixture.advanceMicros(50_000).outcome("r", 0, "a", AttemptOutcome.OK, 50_000);
+            assertEquals(closeOnDrainMicros > 0 ? 2 : 0, fixture.connectionCloseCount("a"));
             // The endpoint is ready again, so its connections are no longer closed.
-            fixture.endpointList(EndpointListType.DELTA, A);
-            fixture.advance(50_000).outcome("s", 0, "a", AttemptOutcome.OK, 100_000);
-            assertEquals(closeOnDrainMicros > 0 ? 2 : 0, fixture.closeCount("a"));
+            fixture.receiveEndpointList(EndpointListType.DELTA, A);
+            fixture.advanceMicros(50_000).outcome("s", 0, "a", AttemptOutcome.OK, 100_000);
+            assertEquals(closeOnDrainMicros > 0 ? 2 : 0, fixture.connectionCloseCount("a"));
         }
     }
 
@@ -31,10 +31,10 @@
     void closesConnectionsOfUnlistedEndpointOnlyIfUsed() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.closeOnDrainMicros = 500_000;
-        fixture.start().listed(A, B).request("r");
+        fixture.start().receiveFullSnapshot(A, B).request("r");
         String used = fixture.endpointOf("r", 0);
-        fixture.endpointList(EndpointListType.FULL);
-        assertEquals(List.of(used), fixture.closedConnections());
+        fixture.receiveEndpointList(EndpointListType.FULL);
+        assertEquals(List.of(used), fixture.endpointsWithClosedConnections());
     }
 
     /**
@@ -45,17 +45,24 @@
     void closesLongIdleConnectionsBeforeUseAfterOneWasDropped() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.connectionPrice = 0.05;
-        fixture.start().listed(A).request("r0").advance(75_000).outcome("r0", 0, "a", AttemptOutcome.OK, 75_000);
-        fixture.advance(2_000_000).request("r1").advance(1_000).outcome("r1", 0, "a", AttemptOutcome.RESET, 1_000);
+        fixture.start()
+                .receiveFullSnapshot(A)
+                .request("r0")
+                .advanceMicros(75_000)
+                .outcome("r0", 0, "a", AttemptOutcome.OK, 75_000);
+        fixture.advanceMicros(2_000_000)
+                .request("r1")
+                .advanceMicros(1_000)
+                .outcome("r1", 0, "a", AttemptOutcome.RESET, 1_000);
         assertEquals("a", fixture.endpointOf("r1", 1));
-        fixture.advance(75_000).outcome("r1", 1, "a", AttemptOutcome.OK, 75_000);
-        assertEquals(0, fixture.closedConnections().size());
-        fixture.advance(1_800_000).request("r2");
-        assertEquals(1, fixture.closeCount("a"));
-        fixture.advance(75_000)
+        fixture.advanceMicros(75_000).outcome("r1", 1, "a", AttemptOutcome.OK, 75_000);
+        assertEquals(0, fixture.endpointsWithClosedConnections().size());
+        fixture.advanceMicros(1_800_000).request("r2");
+        assertEquals(1, fixture.connectionCloseCount("a"));
+        fixture.advanceMicros(75_000)
                 .outcome("r2", 0, "a", AttemptOutcome.OK, 75_000)
-                .advance(500_000)
+                .advanceMicros(500_000)
                 .request("r3");
-        assertEquals(1, fixture.closeCount("a"), "a connection that was idle for 500 ms stays open");
+        assertEquals(1, fixture.connectionCloseCount("a"), "a connection that was idle for 500 ms stays open");
     }
 }
--- a/src/test/java/loadbalancer/decision/MachineTypeEstimateTest.java
+++ b/src/test/java/loadbalancer/decision/MachineTypeEstimateTest.java
@@ -12,13 +12,13 @@
      */
     @Test
     void learnsCoresFromGossipOfSidecarsThatObserveQueues() {
-        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
+        PolicyFixture fixture = PolicyFixture.oneOfFourteenSidecars();
         for (int sender = 1; sender < 14; sender++) {
-            fixture.gossipOfMachineType(sender, 1, 4, 40);
+            fixture.receiveMachineTypeGossip(sender, 1, 4, 40);
         }
         double cores = fixture.coresOfMachineType();
         assertTrue(cores > 3 && cores <= 4, "estimated cores: " + cores);
-        fixture.gossipOfMachineType(1, 1, 255, 40);
+        fixture.receiveMachineTypeGossip(1, 1, 255, 40);
         assertTrue(fixture.coresOfMachineType() < 3 * cores, "one wrong gossip message must have little effect");
     }
 }
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -24,13 +24,13 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
-        fixture.start().listed(A).request("swallowed");
+        fixture.start().receiveFullSnapshot(A).request("swallowed");
         for (int i = 0; i < 30; i++) {
-            fixture.advance(1_000).request("n" + i);
+            fixture.advanceMicros(1_000).request("n" + i);
             assertEquals("a", fixture.endpointOf("n" + i, 0), "request " + i);
-            fixture.advance(24_000).outcome("n" + i, 0, "a", AttemptOutcome.OK, 24_000);
+            fixture.advanceMicros(24_000).outcome("n" + i, 0, "a", AttemptOutcome.OK, 24_000);
         }
-        fixture.advance(50_000)
+        fixture.advanceMicros(50_000)
                 .outcome("swallowed", 0, "a", AttemptOutcome.TIMEOUT, 800_000)
                 .request("r")
                 .request("s");
@@ -43,11 +43,11 @@
     void sendsNoFurtherRequestToStalledEndpoint() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
-        fixture.start().listed(A);
+        fixture.start().receiveFullSnapshot(A);
         for (int i = 0; i < 10; i++) {
-            fixture.request("w" + i).advance(24_000).outcome("w" + i, 0, "a", AttemptOutcome.OK, 24_000);
+            fixture.request("w" + i).advanceMicros(24_000).outcome("w" + i, 0, "a", AttemptOutcome.OK, 24_000);
         }
-        fixture.request("stuck").advance(300_000).request("r");
+        fixture.request("stuck").advanceMicros(300_000).request("r");
         assertNotNull(fixture.endpointOf("stuck", 0));
         assertNull(fixture.endpointOf("r", 0));
     }
@@ -55,12 +55,13 @@
     /** Failures of all endpoints say little about a single one, and if all were ejected, no request would be served. */
     @Test
     void ignoresEjectionsIfMostEndpointsFail() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B).request("r");
+        PolicyFixture fixture =
+                new PolicyFixture().start().receiveFullSnapshot(A, B).request("r");
         for (int attempt = 0; attempt < 2; attempt++) {
             fixture.outcome("r", attempt, fixture.endpointOf("r", attempt), AttemptOutcome.CONNECT_FAILED, 1_000);
         }
         assertEquals(2, fixture.attemptCount());
-        fixture.advance(150_000).fire(SWEEP_TIMER).request("s");
+        fixture.advanceMicros(150_000).fireTimer(SWEEP_TIMER).request("s");
         assertTrue(fixture.attemptCount() > 2, "no attempt was sent after both endpoints had failed");
     }
 
@@ -70,7 +71,8 @@
      */
     @Test
     void countsMalformedResponseAsHalfFailure() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
+        PolicyFixture fixture =
+                new PolicyFixture().start().receiveFullSnapshot(A, B, PolicyFixture.endpoint("c", "zc", 3));
         List<String> selected = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             fixture.request("r" + i);
@@ -84,10 +86,11 @@
                         endpoint.equals("a") ? AttemptOutcome.MALFORMED_RESPONSE : AttemptOutcome.OK,
                         75_000);
             }
-            fixture.advance(10_000);
+            fixture.advanceMicros(10_000);
         }
-        long onA = selected.stream().filter("a"::equals).count();
-        assertTrue(onA >= 4 && onA <= 5, onA + " attempts were sent to a, of a total of " + selected.size());
+        long sentToA = selected.stream().filter("a"::equals).count();
+        assertTrue(
+                sentToA >= 4 && sentToA <= 5, sentToA + " attempts were sent to a, of a total of " + selected.size());
     }
 
     /** An endpoint that drains before the endpoint list says so rejects requests although it has little load. */
@@ -104,24 +107,24 @@
     void doesNotEjectEndpointThatRejectsSomeRequests() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
-        fixture.start().listed(A, B, PolicyFixture.endpoint("c", "zc", 3));
+        fixture.start().receiveFullSnapshot(A, B, PolicyFixture.endpoint("c", "zc", 3));
         int sent = 0;
         for (int i = 0; i < 60; i++) {
             String[] ids = {"x" + i, "y" + i, "z" + i};
             for (String id : ids) {
                 fixture.request(id);
             }
-            fixture.advance(5_000);
+            fixture.advanceMicros(5_000);
             for (String id : ids) {
                 // Endpoint a rejects every second request.
                 if (fixture.endpointOf(id, 0).equals("a") && sent++ % 2 == 1) {
                     fixture.outcome(id, 0, "a", AttemptOutcome.REJECTED, 5_000);
                 }
             }
-            fixture.advance(24_000);
+            fixture.advanceMicros(24_000);
             for (String id : ids) {
-                int last = fixture.attemptCount(id) - 1;
-                fixture.outcome(id, last, fixture.endpointOf(id, last), AttemptOutcome.OK, 24_000);
+                int lastAttempt = fixture.attemptCount(id) - 1;
+                fixture.outcome(id, lastAttempt, fixture.endpointOf(id, lastAttempt), AttemptOutcome.OK, 24_000);
             }
         }
         assertTrue(sent >= 30, "only " + sent + " of 180 requests were sent to endpoint a");
@@ -137,26 +140,29 @@
     void doesNotEjectRespondingEndpointAfterOneFailedConnect() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
-        fixture.start().listed(A);
+        fixture.start().receiveFullSnapshot(A);
         for (int i = 0; i < 10; i++) {
-            fixture.request("w" + i).advance(24_000).outcome("w" + i, 0, "a", AttemptOutcome.OK, 24_000);
+            fixture.request("w" + i).advanceMicros(24_000).outcome("w" + i, 0, "a", AttemptOutcome.OK, 24_000);
         }
-        fixture.request("r").advance(1_000).outcome("r", 0, "a", AttemptOutcome.CONNECT_FAILED, 1_000);
+        fixture.request("r").advanceMicros(1_000).outcome("r", 0, "a", AttemptOutcome.CONNECT_FAILED, 1_000);
         assertEquals("a", fixture.endpointOf("r", 1));
         for (int i = 1; i <= 3; i++) {
-            fixture.advance(1_000).outcome("r", i, "a", AttemptOutcome.CONNECT_FAILED, 1_000);
+            fixture.advanceMicros(1_000).outcome("r", i, "a", AttemptOutcome.CONNECT_FAILED, 1_000);
         }
         assertNull(fixture.endpointOf("r", 4));
     }
 
     private static void assertEjectedAfter(AttemptOutcome outcome, long intervalMicros) {
-        PolicyFixture fixture =
-                new PolicyFixture().start().listed(A, B).request("r").advance(1_000);
+        PolicyFixture fixture = new PolicyFixture()
+                .start()
+                .receiveFullSnapshot(A, B)
+                .request("r")
+                .advanceMicros(1_000);
         String ejected = fixture.endpointOf("r", 0);
         fixture.outcome("r", 0, ejected, outcome, 1_000);
         fixture.outcome("r", 1, fixture.endpointOf("r", 1), AttemptOutcome.OK, 50_000);
         for (int i = 0; i < 10; i++) {
-            fixture.advance(intervalMicros).request("n" + i);
+            fixture.advanceMicros(intervalMicros).request("n" + i);
             assertNotNull(fixture.endpointOf("n" + i, 0));
             assertNotEquals(ejected, fixture.endpointOf("n" + i, 0));
             fixture.outcome("n" + i, 0, fixture.endpointOf("n" + i, 0), AttemptOutcome.OK, 50_000);
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -25,23 +25,24 @@
 import loadbalancer.settings.UsagePrices;
 
 /**
- * One policy under test with a clock that the test advances and a record of its actions.
+ * A load balancing policy under test, with a clock that the test advances and a record of the actions of the policy.
  *
- * <p>Set the fields first, then call {@link #start}. The fields are settings with defaults that suit most tests. All
- * that tests see of the policy's internal state goes through the accessors at the end of this class.
+ * <p>The fields are settings, whose defaults suit most tests. A test first changes fields, then calls {@link #start},
+ * and then the methods that report events to the policy. Tests access the internal state of the policy only through the
+ * methods at the end of this class.
  */
 final class PolicyFixture implements LoadBalancerActions {
-    /** Looks through the waiting requests. */
+    /** Starts a sweep of the request queue. */
     static final String SWEEP_TIMER = TimerNames.QUEUE_SWEEP;
     /** Sends gossip. */
     static final String GOSSIP_TIMER = TimerNames.GOSSIP;
-    /** Polls discovery again after a failure. */
+    /** Polls discovery again after a failed call. */
     static final String DISCOVERY_TIMER = TimerNames.DISCOVERY_RETRY;
-    /** Followed by a request id: an attempt of the request is overdue. */
+    /** Prefix, followed by a request id: an attempt of the request is overdue. */
     static final String OVERDUE_TIMER_PREFIX = TimerNames.ATTEMPT_OVERDUE;
-    /** Followed by a request id: the health check of its endpoint had time to be answered. */
-    static final String UNRESPONSIVE_TIMER_PREFIX = TimerNames.HEALTH_CHECK_DUE;
-    /** Target of gossip that goes to every sidecar. */
+    /** Prefix, followed by a request id: the health check for its overdue attempt should have been answered by now. */
+    static final String HEALTH_CHECK_DUE_TIMER_PREFIX = TimerNames.HEALTH_CHECK_DUE;
+    /** Target of a gossip message that is sent to all sidecars. */
     static final int ALL_SIDECARS = -1;
 
     private static final String MACHINE_TYPE = "k";
@@ -110,15 +111,15 @@
         return this;
     }
 
-    /** One of 14 sidecars, each with little traffic of its own, with the endpoints a and b. */
-    static PolicyFixture oneOfFourteen() {
+    /** Starts the policy of one of 14 sidecars, which all have little traffic, with the endpoints a and b. */
+    static PolicyFixture oneOfFourteenSidecars() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.sidecarCount = 14;
         fixture.loadReporting = LoadReporting.NONE;
-        return fixture.start().listed(endpoint("a", "za", 1), endpoint("b", "zb", 2));
+        return fixture.start().receiveFullSnapshot(endpoint("a", "za", 1), endpoint("b", "zb", 2));
     }
 
-    /** A ready endpoint that started long ago. */
+    /** Returns a ready endpoint that started long ago. */
     static Endpoint endpoint(String id, String zone, int cell) {
         return new Endpoint(id, zone, MACHINE_TYPE, cell, 0, 1, EndpointState.READY);
     }
@@ -143,33 +144,35 @@
         return this;
     }
 
-    /** A full endpoint list arrives. */
-    PolicyFixture listed(Endpoint... endpoints) {
-        return endpointList(EndpointListType.FULL, endpoints);
+    /** Notifies the policy of a full snapshot of the endpoint list. */
+    PolicyFixture receiveFullSnapshot(Endpoint... endpoints) {
+        return receiveEndpointList(EndpointListType.FULL, endpoints);
     }
 
-    PolicyFixture endpointList(EndpointListType type, Endpoint... endpoints) {
+    PolicyFixture receiveEndpointList(EndpointListType type, Endpoint... endpoints) {
         policy.onEndpointList(nowMicros, type, List.of(endpoints));
         return this;
     }
 
-    PolicyFixture request(String id) {
-        return request(id, DEADLINE_MICROS);
+    PolicyFixture request(String requestId) {
+        return request(requestId, DEADLINE_MICROS);
     }
 
-    PolicyFixture request(String id, long remainingMicros) {
-        return request(id, 0, remainingMicros);
+    PolicyFixture request(String requestId, long remainingMicros) {
+        return request(requestId, 0, remainingMicros);
     }
 
-    PolicyFixture request(String id, double costHintMicros, long remainingMicros) {
+    PolicyFixture request(String requestId, double costHintMicros, long remainingMicros) {
         policy.onRequest(
-                nowMicros, new Request(id, -1, false, false, costHintMicros, remainingMicros, null, REQUEST_CLASS));
+                nowMicros,
+                new Request(requestId, -1, false, false, costHintMicros, remainingMicros, null, REQUEST_CLASS));
         return this;
     }
 
-    PolicyFixture outcome(String id, int attempt, String endpointId, AttemptOutcome outcome, long latencyMicros) {
-        return outcome(
-                new AttemptResult(id, attempt, endpointId, outcome, latencyMicros, outcome == AttemptOutcome.OK, null));
+    PolicyFixture outcome(
+            String requestId, int attemptNumber, String endpointId, AttemptOutcome outcome, long latencyMicros) {
+        return outcome(new AttemptResult(
+                requestId, attemptNumber, endpointId, outcome, latencyMicros, outcome == AttemptOutcome.OK, null));
     }
 
     PolicyFixture outcome(AttemptResult result) {
@@ -177,57 +180,61 @@
         return this;
     }
 
-    PolicyFixture streamStart(String id, int attempt, String endpointId, long latencyMicros) {
-        policy.onStreamStart(nowMicros, id, attempt, endpointId, latencyMicros);
+    PolicyFixture streamStart(String requestId, int attemptNumber, String endpointId, long latencyMicros) {
+        policy.onStreamStart(nowMicros, requestId, attemptNumber, endpointId, latencyMicros);
         return this;
     }
 
-    /** The client of the request has left. */
-    PolicyFixture expire(String id) {
-        policy.onRequestExpired(nowMicros, id);
+    /** Notifies the policy that the client has disconnected or that the request's deadline has passed. */
+    PolicyFixture expire(String requestId) {
+        policy.onRequestExpired(nowMicros, requestId);
         return this;
     }
 
-    /** A health check is answered after 1 ms; {@code report} is null if the reply holds none. */
-    PolicyFixture healthCheckReply(String endpointId, LoadReport report) {
-        policy.onHealthCheck(nowMicros, endpointId, AttemptOutcome.OK, 1_000, report);
+    /**
+     * Notifies the policy of the reply to a health check, after a latency of 1 ms.
+     *
+     * @param loadReport null if the reply contains no load report
+     */
+    PolicyFixture healthCheckReply(String endpointId, LoadReport loadReport) {
+        policy.onHealthCheck(nowMicros, endpointId, AttemptOutcome.OK, 1_000, loadReport);
         return this;
     }
 
-    PolicyFixture gossipReceived(int sender, byte[] message) {
+    PolicyFixture receiveGossip(int sender, byte[] message) {
         policy.onGossip(nowMicros, sender, message);
         return this;
     }
 
-    /** Gossip of a sidecar that gets {@code requestsPerSecond} and has {@code inFlight} requests in flight. */
-    PolicyFixture gossipReceived(int sender, double requestsPerSecond, double inFlight) {
-        return gossipReceived(sender, gossip(requestsPerSecond, inFlight, new MachineTypeSample(0, 0, 0)));
+    /** Passes gossip of one sidecar to the policy: its rate of requests and its number of requests in flight. */
+    PolicyFixture receiveGossip(int sender, double requestsPerSecond, double inFlight) {
+        return receiveGossip(sender, encodeGossip(requestsPerSecond, inFlight, new MachineTypeSample(0, 0, 0)));
     }
 
-    /** The same gossip of the sidecars 1 to 13. */
-    PolicyFixture gossipFromThirteenSidecars(double requestsPerSecond, double inFlight) {
+    /** Passes the same gossip of each of the sidecars 1 to 13 to the policy. */
+    PolicyFixture receiveGossipFromThirteenSidecars(double requestsPerSecond, double inFlight) {
         for (int sender = 1; sender < 14; sender++) {
-            gossipReceived(sender, requestsPerSecond, inFlight);
+            receiveGossip(sender, requestsPerSecond, inFlight);
         }
         return this;
     }
 
-    /** Gossip of a sidecar that has learned of the machine type from so many responses. */
-    PolicyFixture gossipOfMachineType(int sender, double speedFactor, double cores, int responses) {
-        return gossipReceived(sender, gossip(0, 0, new MachineTypeSample(speedFactor, cores, responses)));
+    /** Passes a sidecar's estimates for the machine type, learned from {@code responses} responses, to the policy. */
+    PolicyFixture receiveMachineTypeGossip(int sender, double speedFactor, double cores, int responses) {
+        return receiveGossip(sender, encodeGossip(0, 0, new MachineTypeSample(speedFactor, cores, responses)));
     }
 
-    private static byte[] gossip(double requestsPerSecond, double inFlight, MachineTypeSample sample) {
+    private static byte[] encodeGossip(double requestsPerSecond, double inFlight, MachineTypeSample sample) {
         return new GossipMessage(0, requestsPerSecond, inFlight, List.of(sample), 0).encode();
     }
 
-    PolicyFixture advance(long micros) {
+    PolicyFixture advanceMicros(long micros) {
         nowMicros += micros;
         return this;
     }
 
-    /** Fires the timer, as the host would. */
-    PolicyFixture fire(String timerName) {
+    /** Fires the timer as the host of the policy does. */
+    PolicyFixture fireTimer(String timerName) {
         policy.onTimer(nowMicros, timerName);
         return this;
     }
@@ -264,10 +271,14 @@
         return sentAttempts(requestId).size();
     }
 
-    /** Where the attempt of this number of the request went, or null. */
-    String endpointOf(String requestId, int attempt) {
+    /**
+     * Returns the id of the endpoint to which an attempt of the request was sent, or null if there is no such attempt.
+     *
+     * @param attemptNumber 0 for the first attempt
+     */
+    String endpointOf(String requestId, int attemptNumber) {
         List<SentAttempt> attempts = sentAttempts(requestId);
-        return attempt < attempts.size() ? attempts.get(attempt).endpointId() : null;
+        return attemptNumber < attempts.size() ? attempts.get(attemptNumber).endpointId() : null;
     }
 
     List<String> rejectedRequests() {
@@ -286,31 +297,33 @@
         return failedRequests().stream().filter(requestId::equals).count();
     }
 
-    /** Ids of the endpoints that were asked for a load report. */
-    List<String> healthChecks() {
+    /** Returns the id of the endpoint of each started health check. */
+    List<String> checkedEndpoints() {
         return actions(HealthCheck.class).map(HealthCheck::endpointId).toList();
     }
 
-    /** Ids of the endpoints whose idle connections were closed. */
-    List<String> closedConnections() {
+    /** Returns the id of the endpoint of each action that closed idle connections. */
+    List<String> endpointsWithClosedConnections() {
         return actions(ConnectionClose.class).map(ConnectionClose::endpointId).toList();
     }
 
-    long closeCount(String endpointId) {
-        return closedConnections().stream().filter(endpointId::equals).count();
+    long connectionCloseCount(String endpointId) {
+        return endpointsWithClosedConnections().stream()
+                .filter(endpointId::equals)
+                .count();
     }
 
-    long pollCount() {
+    long discoveryPollCount() {
         return actions(EndpointPoll.class).count();
     }
 
-    /** Sidecars that gossip was sent to, {@link #ALL_SIDECARS} for one message to all. */
+    /** Returns the target of each sent gossip message: a sidecar's index or {@link #ALL_SIDECARS}. */
     List<Integer> gossipTargets() {
         return actions(Gossip.class).map(Gossip::sidecarIndex).toList();
     }
 
-    /** The rate of requests a second that the last gossip names; it must have been well-formed. */
-    double lastGossipRate() {
+    /** Returns the rate of requests in the last gossip message; fails if none was sent or it was malformed. */
+    double lastGossipRatePerSecond() {
         if (lastGossip == null) {
             throw new AssertionError("no well-formed gossip was sent");
         }
@@ -326,13 +339,13 @@
 
     // ---- internal state of the policy -----------------------------------------------------------
 
-    /** Whether the rules allow an attempt of the waiting or running request at the endpoint now. */
+    /** Returns whether an attempt of the request, which is queued or in flight, may be sent to the endpoint now. */
     boolean maySend(String requestId, String endpointId) {
         return policy.eligibility.maySend(
                 nowMicros, policy.requests.find(requestId), policy.endpoints.find(endpointId));
     }
 
-    /** How many endpoints are remembered. */
+    /** Returns the number of endpoints in the registry, including removed ones that are not discarded yet. */
     int endpointCount() {
         return policy.endpoints.size();
     }
@@ -345,12 +358,12 @@
         return policy.endpoints.find(endpointId).speedFactor();
     }
 
-    /** Of the machine type that {@link #endpoint} gives to endpoints. */
+    /** Returns the estimated speed factor of the machine type of all endpoints from {@link #endpoint}. */
     double speedFactorOfMachineType() {
         return policy.endpoints.machineType(MACHINE_TYPE).speedFactor();
     }
 
-    /** Of the machine type that {@link #endpoint} gives to endpoints. */
+    /** Returns the estimated number of cores of the machine type of all endpoints from {@link #endpoint}. */
     double coresOfMachineType() {
         return policy.endpoints.machineType(MACHINE_TYPE).cores();
     }
--- a/src/test/java/loadbalancer/decision/PowerOfTwoSelectorTest.java
+++ b/src/test/java/loadbalancer/decision/PowerOfTwoSelectorTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void selectsLessLoadedOfTwo() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B);
+        PolicyFixture fixture = new PolicyFixture().start().receiveFullSnapshot(A, B);
         fixture.request("r1").request("r2");
         assertNotEquals(fixture.endpointOf("r1", 0), fixture.endpointOf("r2", 0));
     }
@@ -24,10 +24,10 @@
         // All endpoints are equal and idle, so each is drawn with the same probability.
         PolicyFixture fixture = new PolicyFixture()
                 .start()
-                .listed(A, B, PolicyFixture.endpoint("c", "zc", 3), PolicyFixture.endpoint("d", "zc", 4));
+                .receiveFullSnapshot(A, B, PolicyFixture.endpoint("c", "zc", 3), PolicyFixture.endpoint("d", "zc", 4));
         int[] counts = new int[4];
         for (int i = 0; i < 4000; i++) {
-            fixture.advance(1_000).request("r" + i);
+            fixture.advanceMicros(1_000).request("r" + i);
             String endpoint = fixture.endpointOf("r" + i, 0);
             counts[endpoint.charAt(0) - 'a']++;
             fixture.outcome("r" + i, 0, endpoint, AttemptOutcome.OK, 75_000);
@@ -40,7 +40,8 @@
 
     @Test
     void breaksTiesByRoutingWeight() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B).request("first");
+        PolicyFixture fixture =
+                new PolicyFixture().start().receiveFullSnapshot(A, B).request("first");
         fixture.outcome("first", 0, fixture.endpointOf("first", 0), AttemptOutcome.OK, 75_000);
         fixture.setRoutingWeight("a", 0.75);
         fixture.setRoutingWeight("b", 0.25);
@@ -57,7 +58,8 @@
 
     @Test
     void skipsEndpointThatReportsFullLoad() {
-        PolicyFixture fixture = new PolicyFixture().start().listed(A, B).request("r");
+        PolicyFixture fixture =
+                new PolicyFixture().start().receiveFullSnapshot(A, B).request("r");
         String endpoint = fixture.endpointOf("r", 0);
         fixture.outcome(new AttemptResult("r", 0, endpoint, AttemptOutcome.OK, 50_000, true, new LoadReport(9, 8, 1)));
         for (int i = 0; i < 3; i++) {
@@ -71,7 +73,7 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.crossZonePrice = 0.08;
         fixture.loadReporting = LoadReporting.NONE;
-        fixture.start().listed(A, B);
+        fixture.start().receiveFullSnapshot(A, B);
         for (int i = 0; i < 3; i++) {
             fixture.request("r" + i);
             assertEquals("a", fixture.endpointOf("r" + i, 0));
--- a/src/test/java/loadbalancer/decision/RecordedAction.java
+++ b/src/test/java/loadbalancer/decision/RecordedAction.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** One action that the policy under test took, by the method of {@link LoadBalancerActions} that it called. */
+/** An action that the policy under test has taken: a call of one method of {@link LoadBalancerActions}. */
 sealed interface RecordedAction {
     record SentAttempt(String requestId, String endpointId, long deadlineMicros) implements RecordedAction {}
 
@@ -8,7 +8,7 @@
 
     record Failure(String requestId) implements RecordedAction {}
 
-    record Cancellation(String requestId, int attempt) implements RecordedAction {}
+    record Cancellation(String requestId, int attemptNumber) implements RecordedAction {}
 
     record HealthCheck(String endpointId) implements RecordedAction {}
 
--- a/src/test/java/loadbalancer/decision/SampledLoadSelectorTest.java
+++ b/src/test/java/loadbalancer/decision/SampledLoadSelectorTest.java
@@ -15,9 +15,9 @@
     @Test
     void checksBothDrawnEndpointsAndSelectsLessLoaded() {
         PolicyFixture fixture = withHealthChecks().request("r");
-        assertEquals(2, fixture.healthChecks().size());
+        assertEquals(2, fixture.checkedEndpoints().size());
         assertNull(fixture.endpointOf("r", 0));
-        fixture.advance(1_000);
+        fixture.advanceMicros(1_000);
         fixture.healthCheckReply("a", new LoadReport(2, 1, 1));
         fixture.healthCheckReply("b", new LoadReport(0, 0, 0));
         assertEquals("b", fixture.endpointOf("r", 0));
@@ -26,23 +26,23 @@
     /** A health check detects a stalled endpoint before a request is sent to it and lost. */
     @Test
     void skipsEndpointWithoutReplyByNextSweep() {
-        PolicyFixture fixture = withHealthChecks().request("r").advance(1_000);
+        PolicyFixture fixture = withHealthChecks().request("r").advanceMicros(1_000);
         fixture.healthCheckReply("a", new LoadReport(0, 0, 0));
         assertNull(fixture.endpointOf("r", 0));
-        fixture.advance(5_000).fire(SWEEP_TIMER);
+        fixture.advanceMicros(5_000).fireTimer(SWEEP_TIMER);
         assertEquals("a", fixture.endpointOf("r", 0));
     }
 
     @Test
     void treatsReplyWithoutLoadReportAsBusy() {
-        PolicyFixture fixture = withHealthChecks().request("r").advance(1_000);
+        PolicyFixture fixture = withHealthChecks().request("r").advanceMicros(1_000);
         fixture.healthCheckReply("a", null);
         fixture.healthCheckReply("b", new LoadReport(1, 0, 1));
         for (int i = 0; i < 3 && fixture.endpointOf("r", 0) == null; i++) {
-            fixture.advance(5_000);
+            fixture.advanceMicros(5_000);
             fixture.healthCheckReply("a", null);
             fixture.healthCheckReply("b", new LoadReport(1, 0, 1));
-            fixture.fire(SWEEP_TIMER);
+            fixture.fireTimer(SWEEP_TIMER);
         }
         assertEquals("b", fixture.endpointOf("r", 0));
     }
@@ -55,29 +55,30 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.healthChecks = true;
         fixture.sidecarCount = 1;
-        fixture.start().listed(A, B).request("r").advance(1_000);
+        fixture.start().receiveFullSnapshot(A, B).request("r").advanceMicros(1_000);
         fixture.healthCheckReply("a", new LoadReport(0, 0, 0));
         fixture.healthCheckReply("b", new LoadReport(0, 0, 0));
         String first = fixture.endpointOf("r", 0);
         fixture.clearActions();
-        fixture.advance(20_000).request("s");
-        assertEquals(0, fixture.healthChecks().size());
+        fixture.advanceMicros(20_000).request("s");
+        assertEquals(0, fixture.checkedEndpoints().size());
         assertEquals(first.equals("a") ? "b" : "a", fixture.endpointOf("s", 0));
     }
 
     /** If the sidecar itself is slow, no reply arrives in time, and its requests must not keep waiting for one. */
     @Test
     void selectsByLocalInFlightIfNoReplyArrives() {
-        PolicyFixture fixture = withHealthChecks().request("r").advance(5_000).fire(SWEEP_TIMER);
+        PolicyFixture fixture =
+                withHealthChecks().request("r").advanceMicros(5_000).fireTimer(SWEEP_TIMER);
         String first = fixture.endpointOf("r", 0);
         assertNotNull(first, "request r still waits for a health check reply");
-        fixture.request("s").advance(5_000).fire(SWEEP_TIMER);
+        fixture.request("s").advanceMicros(5_000).fireTimer(SWEEP_TIMER);
         assertEquals(first.equals("a") ? "b" : "a", fixture.endpointOf("s", 0));
     }
 
     private static PolicyFixture withHealthChecks() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.healthChecks = true;
-        return fixture.start().listed(A, B);
+        return fixture.start().receiveFullSnapshot(A, B);
     }
 }
--- a/src/test/java/loadbalancer/decision/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/decision/SettingsReloadTest.java
@@ -18,24 +18,24 @@
     void appliesNewSettingsToNewRequestsOnly() {
         PolicyFixture fixture = new PolicyFixture();
         fixture.idempotency = Idempotency.NOT_IDEMPOTENT;
-        fixture.start().listed(A, B).request("old");
+        fixture.start().receiveFullSnapshot(A, B).request("old");
         PolicyFixture idempotentFixture = new PolicyFixture();
         idempotentFixture.maxAttempts = 2;
         idempotentFixture.sidecarCount = 30;
         fixture.applySettings(idempotentFixture.start().settings());
-        fixture.advance(10_000).outcome("old", 0, fixture.endpointOf("old", 0), AttemptOutcome.RESET, 10_000);
+        fixture.advanceMicros(10_000).outcome("old", 0, fixture.endpointOf("old", 0), AttemptOutcome.RESET, 10_000);
         assertEquals(
                 List.of("old"),
                 fixture.failedRequests(),
                 "request old may have run and its class is not idempotent, so it must fail");
         fixture.request("new");
         for (int i = 0; i < 2; i++) {
-            fixture.advance(10_000).outcome("new", i, fixture.endpointOf("new", i), AttemptOutcome.RESET, 10_000);
+            fixture.advanceMicros(10_000).outcome("new", i, fixture.endpointOf("new", i), AttemptOutcome.RESET, 10_000);
         }
         assertEquals(2, fixture.attemptCount("new"), "the new class is idempotent and allows two attempts");
         assertEquals(1, fixture.failureCount("new"));
-        fixture.gossipReceived(29, 3, 0);
-        fixture.advance(1_000_000).fire(GOSSIP_TIMER);
+        fixture.receiveGossip(29, 3, 0);
+        fixture.advanceMicros(1_000_000).fireTimer(GOSSIP_TIMER);
         assertTrue(fixture.gossipTargets().stream().allMatch(target -> target < 30));
     }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
@@ -31,7 +31,7 @@
             fixture.sidecarCount = sidecarCount;
             fixture.latencyObjectiveMicros = 400_000;
             furtherSettings.accept(fixture);
-            fixtures.add(fixture.start().listed(endpoints));
+            fixtures.add(fixture.start().receiveFullSnapshot(endpoints));
         }
         return fixtures;
     }
@@ -41,13 +41,13 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.latencyObjectiveMicros = 40_000;
         fixture.start();
-        fixture.listed(new Endpoint("a", "za", "k", 1, fixture.nowMicros, 1, EndpointState.READY));
+        fixture.receiveFullSnapshot(new Endpoint("a", "za", "k", 1, fixture.nowMicros, 1, EndpointState.READY));
         long sent = 0;
         for (int i = 0; i < 100; i++) {
-            fixture.advance(10_000).request("r" + i);
+            fixture.advanceMicros(10_000).request("r" + i);
             if (fixture.endpointOf("r" + i, 0) != null) {
                 sent++;
-                fixture.advance(1_000).outcome("r" + i, 0, "a", AttemptOutcome.OK, 10_000);
+                fixture.advanceMicros(1_000).outcome("r" + i, 0, "a", AttemptOutcome.OK, 10_000);
             }
         }
         // Each request takes 10 ms. In 1.1 s the budget is 3 times the capacity, which is at most 0.17 of two
@@ -68,12 +68,12 @@
             for (PolicyFixture fixture : fixtures) {
                 fixture.clearActions();
                 String id = "r" + step;
-                fixture.advance(10_000).request(id, 300_000);
+                fixture.advanceMicros(10_000).request(id, 300_000);
                 if (fixture.endpointOf(id, 0) != null) {
                     sends.add(fixture.nowMicros);
                     fixture.outcome(id, 0, "a", AttemptOutcome.OK, 100_000);
                 }
-                fixture.fire(SWEEP_TIMER);
+                fixture.fireTimer(SWEEP_TIMER);
             }
         }
         assertSentWithinBudget(1_000_000_000L, sends);
@@ -94,16 +94,16 @@
             workMicros = Math.max(0, workMicros - capacityRatio * 5_000);
             double inFlight = Math.ceil(workMicros / 100_000);
             for (PolicyFixture fixture : fixtures) {
-                boolean checked = !fixture.healthChecks().isEmpty();
+                boolean checked = !fixture.checkedEndpoints().isEmpty();
                 fixture.clearActions();
-                fixture.advance(5_000);
+                fixture.advanceMicros(5_000);
                 if (checked) {
                     fixture.healthCheckReply("a", new LoadReport(inFlight, Math.max(0, inFlight - 1), 1));
                 }
                 if (step % 100 == 0) {
                     fixture.request("r" + step, 700_000);
                 }
-                fixture.fire(SWEEP_TIMER);
+                fixture.fireTimer(SWEEP_TIMER);
                 for (SentAttempt attempt : fixture.sentAttempts()) {
                     sends.add(fixture.nowMicros);
                     workMicros += 100_000;
@@ -132,11 +132,11 @@
         for (int step = 0; step < 800; step++) {
             for (int i = 0; i < sidecarCount; i++) {
                 PolicyFixture fixture = fixtures.get(i);
-                fixture.advance(10_000);
+                fixture.advanceMicros(10_000);
                 if (step % 50 == 0) {
                     for (int offset = 0; offset < 20; offset++) {
                         int sender = (offset == 0 ? 0 : i + offset) % sidecarCount;
-                        fixture.gossipReceived(sender, offset == 0 ? 40 : 3, 0);
+                        fixture.receiveGossip(sender, offset == 0 ? 40 : 3, 0);
                     }
                 }
                 // Requests per second: 40 at the first sidecar and 3 at each other one, together 337; the endpoints can
@@ -188,13 +188,13 @@
             fixture.loadReporting = LoadReporting.NONE;
             // Endpoint c has half of its capacity and the other three have full capacity: c has a seventh of the total.
             fixture.start()
-                    .listed(
+                    .receiveFullSnapshot(
                             A,
                             B,
                             PolicyFixture.endpoint("d", "za", 1),
                             new Endpoint("c", "za", "k", 1, fixture.nowMicros - 12_000_000, 1, EndpointState.READY));
-            fixture.gossipFromThirteenSidecars(8, 0);
-            fixture.advance(200_000).request("r");
+            fixture.receiveGossipFromThirteenSidecars(8, 0);
+            fixture.advanceMicros(200_000).request("r");
             selected += "c".equals(fixture.endpointOf("r", 0)) ? 1 : 0;
         }
         assertTrue(selected >= 10 && selected <= 90, selected + " of 300 requests were sent to c");
--- a/src/test/java/loadbalancer/decision/SpeedEstimatorTest.java
+++ b/src/test/java/loadbalancer/decision/SpeedEstimatorTest.java
@@ -19,16 +19,16 @@
      */
     @Test
     void doesNotLearnQueueingBehindRemoteRequestsAsSpeedFactor() {
-        PolicyFixture fixture = PolicyFixture.oneOfFourteen();
+        PolicyFixture fixture = PolicyFixture.oneOfFourteenSidecars();
         for (int i = 0; i < 100; i++) {
-            fixture.gossipFromThirteenSidecars(10, 1);
+            fixture.receiveGossipFromThirteenSidecars(10, 1);
             String id = "r" + i;
-            fixture.advance(200_000).request(id);
+            fixture.advanceMicros(200_000).request(id);
             String endpoint = fixture.endpointOf(id, 0);
             if (endpoint != null) {
                 // 75 ms of work, queued behind 13 others on two endpoints with two cores each: it waits for about three
                 // times its own work.
-                fixture.advance(150_000).outcome(id, 0, endpoint, AttemptOutcome.OK, 290_000);
+                fixture.advanceMicros(150_000).outcome(id, 0, endpoint, AttemptOutcome.OK, 290_000);
             }
         }
         double speedFactor = fixture.speedFactorOfMachineType();
@@ -44,18 +44,18 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
         fixture.latencyObjectiveMicros = 4_000_000;
-        fixture.start().listed(A);
+        fixture.start().receiveFullSnapshot(A);
         long[] coreFreeMicros = new long[4];
         // Each element contains the completion time, the request number and the send time.
         List<long[]> responses = new ArrayList<>();
         int requestCount = 0;
         for (long millisecond = 0; millisecond < 120_000; millisecond++) {
-            fixture.advance(1_000);
+            fixture.advanceMicros(1_000);
             if (millisecond % 15 == 0) {
                 fixture.request("r" + requestCount, 100_000, 4_000_000);
                 requestCount++;
             }
-            fixture.fire(SWEEP_TIMER);
+            fixture.fireTimer(SWEEP_TIMER);
             for (SentAttempt attempt : fixture.sentAttempts()) {
                 int core = 0;
                 for (int candidate = 1; candidate < 4; candidate++) {
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -44,14 +44,14 @@
     @BeforeEach
     void createSidecar() throws Exception {
         sidecar = new SidecarFixture();
-        sidecar.upstream((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
-        sidecar.onRequest = (now, request, out) -> {
+        sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
+        sidecar.onRequest = (nowMicros, request, actions) -> {
             if (request.id().startsWith("block")) {
                 blocked.release();
                 unblock.acquireUninterruptibly();
-                out.fail(request.id());
+                actions.fail(request.id());
             } else {
-                out.sendAttempt(request.id(), "u0", 0);
+                actions.sendAttempt(request.id(), "u0", 0);
             }
         };
     }
@@ -62,7 +62,7 @@
     }
 
     private void blockLoop(StubServer.Client blocker, int round) throws Exception {
-        blocker.send(SidecarFixture.get("block" + round, 20_000));
+        blocker.send(SidecarFixture.idempotentRequest("block" + round, 20_000));
         blocked.acquire();
     }
 
@@ -73,7 +73,7 @@
     private void unblockLoop(StubServer.Client blocker) throws Exception {
         Thread.sleep(2 * ReadTrackingEventLoop.MAX_READ_AGE_MICROS / 1000);
         unblock.release();
-        assertEquals(502, blocker.status());
+        assertEquals(502, blocker.readStatus());
     }
 
     private static void disconnect(StubServer.Client client, Disconnection disconnection) throws IOException {
@@ -84,7 +84,7 @@
     }
 
     private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
-        assertEquals(expected, client.send(request).status());
+        assertEquals(expected, client.send(request).readStatus());
     }
 
     /**
@@ -92,7 +92,7 @@
      * because the endpoint responds to it.
      */
     private void assertNeverSent(String id) throws Exception {
-        assertEquals("outcome " + id + " 0 NOT_SENT true -", sidecar.await("outcome " + id + " 0"));
+        assertEquals("outcome " + id + " 0 NOT_SENT true -", sidecar.awaitEvent("outcome " + id + " 0"));
     }
 
     @Test
@@ -101,13 +101,13 @@
         try (StubServer.Client blocker = sidecar.client()) {
             for (int round = 0; round < ROUNDS; round++) {
                 StubServer.Client accepted = sidecar.client();
-                assertStatus(200, accepted, SidecarFixture.get("first" + round, 20_000));
+                assertStatus(200, accepted, SidecarFixture.idempotentRequest("first" + round, 20_000));
                 blockLoop(blocker, round);
-                accepted.send(SidecarFixture.get("gone" + round, 20_000));
+                accepted.send(SidecarFixture.idempotentRequest("gone" + round, 20_000));
                 disconnect(accepted, Disconnection.CLOSE);
                 // This connection waits in the listener's backlog, together with its request and its end.
                 StubServer.Client unaccepted = sidecar.client();
-                unaccepted.send(SidecarFixture.get("new" + round, 20_000));
+                unaccepted.send(SidecarFixture.idempotentRequest("new" + round, 20_000));
                 disconnect(unaccepted, Disconnection.CLOSE);
                 unblockLoop(blocker);
                 assertNeverSent("gone" + round);
@@ -121,18 +121,18 @@
      */
     private void routeToFullEndpoint(ServerSocket endpoint) {
         String address = "127.0.0.1:" + endpoint.getLocalPort();
-        sidecar.discovery.script = (request, connection) -> {
+        sidecar.discovery.handler = (request, connection) -> {
             if (request.path().contains("index=41&")) {
-                String entry = SidecarFixture.entry("full", address, "Ready", 0);
-                connection.respond("200 OK", "", SidecarFixture.list(42, false, entry));
+                String entry = SidecarFixture.endpointJson("full", address, "Ready", 0);
+                connection.respond("200 OK", "", SidecarFixture.endpointListJson(42, false, entry));
             }
         };
-        SidecarFixture.RequestHandler defaultHandler = sidecar.onRequest;
-        sidecar.onRequest = (now, request, out) -> {
+        SidecarFixture.RequestCallback defaultCallback = sidecar.onRequest;
+        sidecar.onRequest = (nowMicros, request, actions) -> {
             if (request.id().startsWith("gone")) {
-                out.sendAttempt(request.id(), "full", 0);
+                actions.sendAttempt(request.id(), "full", 0);
             } else {
-                defaultHandler.handle(now, request, out);
+                defaultCallback.handle(nowMicros, request, actions);
             }
         };
     }
@@ -146,15 +146,15 @@
         try (ServerSocket endpoint = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             routeToFullEndpoint(endpoint);
             sidecar.start();
-            sidecar.await("list DELTA full=READY");
+            sidecar.awaitEvent("list DELTA full=READY");
             try (StubServer.Client blocker = sidecar.client()) {
                 for (int round = 0; round < 3; round++) {
                     List<Socket> fillers = List.of(
                             new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()),
                             new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
                     StubServer.Client client = sidecar.client();
-                    client.send(SidecarFixture.get("gone" + round, 20_000));
-                    sidecar.await("request gone" + round);
+                    client.send(SidecarFixture.idempotentRequest("gone" + round, 20_000));
+                    sidecar.awaitEvent("request gone" + round);
                     // This request is read in a later iteration, when the attempt's connection is already being opened.
                     assertStatus(404, blocker, "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
                     blockLoop(blocker, round);
@@ -179,7 +179,7 @@
     private void awaitRequestAtFirstEndpoint(String id) throws InterruptedException {
         StubServer.Message request;
         do {
-            request = sidecar.endpointServers.get(0).next();
+            request = sidecar.endpointServers.get(0).nextRequest();
         } while (!request.header("X-Txn").equals(id));
     }
 
@@ -189,15 +189,15 @@
      * fires once that connection may be reused, and fails the request.
      */
     private void routeWarmUpToSecondEndpoint() {
-        SidecarFixture.RequestHandler defaultHandler = sidecar.onRequest;
-        sidecar.onRequest = (now, request, out) -> {
+        SidecarFixture.RequestCallback defaultCallback = sidecar.onRequest;
+        sidecar.onRequest = (nowMicros, request, actions) -> {
             if (request.id().startsWith("warm")) {
-                out.sendAttempt(request.id(), "u1", 0);
+                actions.sendAttempt(request.id(), "u1", 0);
             } else if (request.id().startsWith("rest")) {
-                out.startTimer("rested", 2 * UpstreamConnectionPool.REUSE_DELAY_MICROS);
-                out.fail(request.id());
+                actions.startTimer("rested", 2 * UpstreamConnectionPool.REUSE_DELAY_MICROS);
+                actions.fail(request.id());
             } else {
-                defaultHandler.handle(now, request, out);
+                defaultCallback.handle(nowMicros, request, actions);
             }
         };
     }
@@ -206,7 +206,7 @@
     void sendsNoRetryAfterFailureReadTogetherWithDisconnection() throws Exception {
         Semaphore fail = new Semaphore(0);
         Semaphore failed = new Semaphore(0);
-        sidecar.endpointServers.get(0).script = (request, connection) -> {
+        sidecar.endpointServers.get(0).handler = (request, connection) -> {
             if (request.header("X-Txn").startsWith("gone")) {
                 fail.acquireUninterruptibly();
                 connection.respond("500 No", "", "");
@@ -215,32 +215,32 @@
                 connection.respond("200 OK", "", "");
             }
         };
-        StubServer secondEndpoint = sidecar.upstream((request, connection) -> connection.respond("200 OK", "", ""));
+        StubServer secondEndpoint = sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", ""));
         routeWarmUpToSecondEndpoint();
-        sidecar.onOutcome = (id, outcome, done, out) -> {
-            if (!done) {
-                out.sendAttempt(id, "u1", 0);
+        sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {
+            if (!requestDone) {
+                actions.sendAttempt(requestId, "u1", 0);
             }
         };
         sidecar.start();
         try (StubServer.Client blocker = sidecar.client()) {
             for (int round = 0; round < ROUNDS; round++) {
                 // Leaves an idle connection to the second endpoint, on which a retry could be written at once.
-                assertStatus(200, blocker, SidecarFixture.get("warm" + round, 20_000));
-                assertStatus(502, blocker, SidecarFixture.get("rest" + round, 20_000));
-                sidecar.await("timer rested");
+                assertStatus(200, blocker, SidecarFixture.idempotentRequest("warm" + round, 20_000));
+                assertStatus(502, blocker, SidecarFixture.idempotentRequest("rest" + round, 20_000));
+                sidecar.awaitEvent("timer rested");
                 StubServer.Client client = sidecar.client();
-                client.send(SidecarFixture.get("gone" + round, 20_000));
+                client.send(SidecarFixture.idempotentRequest("gone" + round, 20_000));
                 awaitRequestAtFirstEndpoint("gone" + round);
                 blockLoop(blocker, round);
                 fail.release();
                 failed.acquire();
                 disconnect(client, Disconnection.ofRound(round));
                 unblockLoop(blocker);
-                sidecar.await("expired gone" + round);
+                sidecar.awaitEvent("expired gone" + round);
             }
         }
-        for (StubServer.Message request : secondEndpoint.messages) {
+        for (StubServer.Message request : secondEndpoint.receivedRequests) {
             assertTrue(
                     request.header("X-Txn").startsWith("warm"),
                     "an attempt was sent for a client that had disconnected");
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -18,12 +18,12 @@
 @Timeout(60)
 class MalformedInputTest {
     private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
-        assertEquals(expected, client.send(request).status());
+        assertEquals(expected, client.send(request).readStatus());
     }
 
     @Test
     void respondsToRequestWithStatusOfItsError() throws Exception {
-        String valid = SidecarFixture.get("a1", 9000);
+        String valid = SidecarFixture.idempotentRequest("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
         cases.put("GET /api HTTP/1.1\r\n: : :\r\nbad header\r\n\r\n", 400);
@@ -60,15 +60,15 @@
                         + "x".repeat(65_536),
                 200);
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
+            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
-            sidecar.await("list DELTA");
+            sidecar.awaitEvent("list DELTA");
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
                 try (StubServer.Client client = sidecar.client()) {
                     client.send(entry.getKey());
                     assertEquals(
                             entry.getValue(),
-                            client.status(),
+                            client.readStatus(),
                             entry.getKey().lines().limit(9).toList().toString());
                 }
             }
@@ -81,7 +81,7 @@
      */
     @Test
     void closesConnectionWithoutForwardingSmuggledRequest() throws Exception {
-        String smuggled = SidecarFixture.get("hidden", 9000);
+        String smuggled = SidecarFixture.idempotentRequest("hidden", 9000);
         String head = "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k1\r\n";
         String chunked = "Transfer-Encoding: chunked\r\n";
         Map<String, Integer> cases = new LinkedHashMap<>();
@@ -96,16 +96,16 @@
         cases.put(head + chunked + "\r\nzz\r\n" + smuggled, 400);
         cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + smuggled, 400);
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
+            StubServer endpoint = sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
                 try (StubServer.Client client = sidecar.client()) {
                     client.send(entry.getKey());
-                    assertEquals(entry.getValue(), client.status(), entry.getKey());
+                    assertEquals(entry.getValue(), client.readStatus(), entry.getKey());
                     assertTrue(client.isClosedBySidecar(), entry.getKey());
                 }
             }
-            assertTrue(endpoint.messages.isEmpty(), "a smuggled request was forwarded");
+            assertTrue(endpoint.receivedRequests.isEmpty(), "a smuggled request was forwarded");
         }
     }
 
@@ -114,18 +114,18 @@
     void writesErrorResponseAfterPendingResponse() throws Exception {
         ResponseGate gate = new ResponseGate();
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {
+            sidecar.addEndpoint((request, connection) -> {
                 gate.await();
                 connection.respond("200 OK", "", "first");
             });
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000)
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000)
                         + "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n");
-                sidecar.await("request a1");
+                sidecar.awaitEvent("request a1");
                 gate.open();
                 assertEquals("first", client.readResponse().body());
-                assertEquals(413, client.status());
+                assertEquals(413, client.readStatus());
                 assertTrue(client.isClosedBySidecar());
             }
         }
@@ -138,7 +138,7 @@
     @Test
     void closesConnectionsOfSilentClientsAndIncompleteRequests() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
+            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
             try (StubServer.Client silent = sidecar.client();
                     StubServer.Client partialHead = sidecar.client();
@@ -146,10 +146,10 @@
                     StubServer.Client afterOneRequest = sidecar.client()) {
                 partialHead.send("GET /api HTTP/1.1\r\nX-T");
                 partialBody.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-                assertStatus(200, afterOneRequest, SidecarFixture.get("a1", 20_000));
+                assertStatus(200, afterOneRequest, SidecarFixture.idempotentRequest("a1", 20_000));
                 assertTrue(silent.isClosedBySidecar());
-                assertEquals(408, partialHead.status());
-                assertEquals(408, partialBody.status());
+                assertEquals(408, partialHead.readStatus());
+                assertEquals(408, partialBody.readStatus());
                 assertTrue(partialHead.isClosedBySidecar() && partialBody.isClosedBySidecar());
                 assertTrue(
                         afterOneRequest.isClosedBySidecar(),
@@ -162,11 +162,11 @@
     @Test
     void limitsRemainingTimeOfRequestToDeadlineOfItsClass() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
+            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                assertStatus(200, client, SidecarFixture.get("a1", 999_999_999));
-                assertTrue(Long.parseLong(sidecar.await("request").split(" ")[2]) <= 60_000_000);
+                assertStatus(200, client, SidecarFixture.idempotentRequest("a1", 999_999_999));
+                assertTrue(Long.parseLong(sidecar.awaitEvent("request").split(" ")[2]) <= 60_000_000);
             }
         }
     }
@@ -175,13 +175,13 @@
     @Test
     void rejectsIdOfOpenRequest() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
+            sidecar.addEndpoint((request, connection) -> {});
             sidecar.start();
             try (StubServer.Client first = sidecar.client();
                     StubServer.Client other = sidecar.client()) {
-                first.send(SidecarFixture.get("a1", 20_000));
-                sidecar.await("request a1");
-                assertStatus(400, other, SidecarFixture.get("a1", 20_000));
+                first.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                sidecar.awaitEvent("request a1");
+                assertStatus(400, other, SidecarFixture.idempotentRequest("a1", 20_000));
             }
         }
     }
@@ -193,13 +193,14 @@
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(503, client.status());
+                assertEquals(503, client.readStatus());
             }
         }
     }
 
     private static void assertConfigurationError(String json, String... expectedWords) {
-        ConfigurationException error = assertThrows(ConfigurationException.class, () -> SidecarFixture.config(json));
+        ConfigurationException error =
+                assertThrows(ConfigurationException.class, () -> SidecarFixture.parseConfiguration(json));
         for (String word : expectedWords) {
             assertTrue(error.getMessage().contains(word), error.getMessage());
         }
@@ -211,17 +212,18 @@
         String valid = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\","
                 + "\"seed\":\"8c1f30d27a5be964\","
                 + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
-                + SidecarFixture.list(1, true, SidecarFixture.entry("u", "127.0.0.1:8", "Ready", 7))
-                + ",\"settings\":" + SidecarFixture.SETTINGS + ",\"new\":{\"x\":[1]}}";
+                + SidecarFixture.endpointListJson(1, true, SidecarFixture.endpointJson("u", "127.0.0.1:8", "Ready", 7))
+                + ",\"settings\":" + SidecarFixture.SETTINGS_JSON + ",\"new\":{\"x\":[1]}}";
         assertEquals(
                 7000,
-                SidecarFixture.config(valid)
+                SidecarFixture.parseConfiguration(valid)
                         .initialEndpoints()
                         .entries()
                         .get(0)
                         .endpoint()
                         .startedMicros());
-        assertEquals(0x8c1f30d27a5be964L, SidecarFixture.config(valid).seed());
+        assertEquals(
+                0x8c1f30d27a5be964L, SidecarFixture.parseConfiguration(valid).seed());
         assertConfigurationError("", "JSON");
         assertConfigurationError("[]", "JSON");
         assertConfigurationError("{\n\n", "JSON");
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -104,7 +104,7 @@
                 });
     }
 
-    private void await(String expected) throws InterruptedException {
+    private void awaitEvent(String expected) throws InterruptedException {
         for (String event; (event = events.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (event.equals(expected)) {
                 return;
@@ -114,7 +114,8 @@
     }
 
     private void setEndpoint(String id, StubServer server) throws Exception {
-        String list = SidecarFixture.list(1, true, SidecarFixture.entry(id, server.address(), "Ready", 0));
+        String list =
+                SidecarFixture.endpointListJson(1, true, SidecarFixture.endpointJson(id, server.address(), "Ready", 0));
         loop.submit(() -> upstreams.updateEndpoints(
                         EndpointList.parse(JsonObject.parse(list.getBytes(StandardCharsets.UTF_8)))))
                 .sync();
@@ -140,15 +141,15 @@
                         default -> dispatcher.fail(completion);
                     }
                 });
-                await("onAttemptOutcome " + completion + " NOT_SENT true");
+                awaitEvent("onAttemptOutcome " + completion + " NOT_SENT true");
             }
             assertEquals(0, loop.submit(dispatcher::openRequests).get());
             loop.execute(() -> {
                 dispatcher.dispatch(exchange("next"));
                 dispatcher.sendAttempt("next", "u0", 0);
             });
-            await("served next next");
-            assertEquals(1, server.messages.size(), "an attempt of a completed request was sent");
+            awaitEvent("served next next");
+            assertEquals(1, server.receivedRequests.size(), "an attempt of a completed request was sent");
         }
     }
 
@@ -164,7 +165,7 @@
                 dispatcher.dispatch(exchange);
                 dispatcher.sendAttempt("late", "u0", 0);
             });
-            await("onAttemptOutcome late ERROR false");
+            awaitEvent("onAttemptOutcome late ERROR false");
             String line = loop.submit(() -> exchange.describeLateResponse(exchange.deadlineMicros() + 250_000))
                     .get();
             assertTrue(
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -18,20 +18,20 @@
     private static final String UNKNOWN_PATH = "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n";
 
     private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
-        assertEquals(expected, client.send(request).status());
+        assertEquals(expected, client.send(request).readStatus());
     }
 
     @Test
     void writesRejectionAtOnceWithRetryAfter() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (now, request, out) -> {
-                out.reject(request.id(), 165_000);
-                out.fail(request.id());
-                out.reject(request.id(), 0);
+            sidecar.onRequest = (nowMicros, request, actions) -> {
+                actions.reject(request.id(), 165_000);
+                actions.fail(request.id());
+                actions.reject(request.id(), 0);
             };
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
                 StubServer.Message response = client.readResponse();
                 assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
                 assertEquals("0.165", response.header("Retry-After"));
@@ -45,11 +45,11 @@
     @Test
     void failsRequestWithoutDecisionBeforeClientStopsWaiting() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (now, request, out) -> {};
+            sidecar.onRequest = (nowMicros, request, actions) -> {};
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 300));
-                assertEquals("expired a1", sidecar.await("expired"));
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 300));
+                assertEquals("expired a1", sidecar.awaitEvent("expired"));
             }
         }
     }
@@ -57,12 +57,13 @@
     @Test
     void timesOutAttemptAtDeadlineAndLetsLoadBalancerRespond() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
-            sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 60_000_000);
+            sidecar.addEndpoint((request, connection) -> {});
+            sidecar.onRequest =
+                    (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", nowMicros + 60_000_000);
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 300));
-                assertEquals("outcome a1 0 TIMEOUT false -", sidecar.await("outcome"));
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 300));
+                assertEquals("outcome a1 0 TIMEOUT false -", sidecar.awaitEvent("outcome"));
             }
         }
     }
@@ -71,20 +72,20 @@
     @Test
     void failsOnlyRequestForWhichLoadBalancerThrows() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
-            sidecar.onRequest = (now, request, out) -> {
+            sidecar.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
+            sidecar.onRequest = (nowMicros, request, actions) -> {
                 throw new IllegalStateException("thrown by the test");
             };
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 20_000));
-                sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
-                sidecar.onOutcome = (id, outcome, done, out) -> {
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 20_000));
+                sidecar.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+                sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {
                     throw new IllegalStateException("thrown by the test");
                 };
-                assertStatus(502, client, SidecarFixture.get("a2", 20_000));
-                sidecar.onRequest = (now, request, out) -> out.startTimer("break", 1);
-                assertStatus(502, client, SidecarFixture.get("a3", 20_000));
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a2", 20_000));
+                sidecar.onRequest = (nowMicros, request, actions) -> actions.startTimer("break", 1);
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a3", 20_000));
             }
         }
     }
@@ -92,16 +93,16 @@
     @Test
     void endsOnlyRequestOfDisconnectedClient() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
+            sidecar.addEndpoint((request, connection) -> {});
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                sidecar.await("request");
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                sidecar.awaitEvent("request");
             }
-            assertEquals("expired a1", sidecar.await("expired"));
-            sidecar.onRequest = (now, request, out) -> out.fail(request.id());
+            assertEquals("expired a1", sidecar.awaitEvent("expired"));
+            sidecar.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
             try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a2", 20_000));
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a2", 20_000));
             }
         }
     }
@@ -110,13 +111,13 @@
     @Test
     void treatsHalfClosedConnectionAsDisconnected() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
+            sidecar.addEndpoint((request, connection) -> {});
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                sidecar.await("request");
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                sidecar.awaitEvent("request");
                 client.socket.shutdownOutput();
-                assertEquals("expired a1", sidecar.await("expired"));
+                assertEquals("expired a1", sidecar.awaitEvent("expired"));
                 assertTrue(client.isClosedBySidecar());
             }
         }
@@ -127,25 +128,25 @@
     void writesFirstResponseAndOnlyReportsLaterOne() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
             BlockingQueue<StubServer.Connection> unanswered = new LinkedBlockingQueue<>();
-            sidecar.upstream((request, connection) -> unanswered.add(connection));
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "second"));
-            sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
-            sidecar.onOutcome = (id, outcome, done, out) -> {};
+            sidecar.addEndpoint((request, connection) -> unanswered.add(connection));
+            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "second"));
+            sidecar.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+            sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {};
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                sidecar.endpointServers.get(0).next();
-                sidecar.onRequest = (now, request, out) -> {
-                    out.sendAttempt("a1", "u1", 0);
-                    out.fail(request.id());
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                sidecar.endpointServers.get(0).nextRequest();
+                sidecar.onRequest = (nowMicros, request, actions) -> {
+                    actions.sendAttempt("a1", "u1", 0);
+                    actions.fail(request.id());
                 };
                 try (StubServer.Client other = sidecar.client()) {
-                    assertStatus(502, other, SidecarFixture.get("a2", 20_000));
+                    assertStatus(502, other, SidecarFixture.idempotentRequest("a2", 20_000));
                 }
                 assertEquals("second", client.readResponse().body());
-                assertEquals("outcome a1 1 OK true -", sidecar.await("outcome"));
+                assertEquals("outcome a1 1 OK true -", sidecar.awaitEvent("outcome"));
                 unanswered.take().respond("200 OK", "", "first");
-                assertEquals("outcome a1 0 OK true -", sidecar.await("outcome"));
+                assertEquals("outcome a1 0 OK true -", sidecar.awaitEvent("outcome"));
                 assertStatus(404, client, UNKNOWN_PATH);
             }
         }
@@ -154,18 +155,18 @@
     @Test
     void sendsNoAttemptBeyondMaximum() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
-            sidecar.onOutcome = (id, outcome, done, out) -> {
+            StubServer endpoint = sidecar.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
+            sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {
                 if (outcome == AttemptOutcome.NOT_SENT) {
-                    out.fail(id);
+                    actions.fail(requestId);
                 } else {
-                    out.sendAttempt(id, "u0", 0);
+                    actions.sendAttempt(requestId, "u0", 0);
                 }
             };
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 20_000));
-                assertEquals(4, endpoint.messages.size());
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 20_000));
+                assertEquals(4, endpoint.receivedRequests.size());
             }
         }
     }
@@ -173,7 +174,7 @@
     @Test
     void respondsToPipelinedRequestsInOrder() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
+            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
                 client.send(pipelined(40));
@@ -187,7 +188,7 @@
     private static String pipelined(int count) {
         StringBuilder requests = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            requests.append(SidecarFixture.get("p" + i, 20_000));
+            requests.append(SidecarFixture.idempotentRequest("p" + i, 20_000));
         }
         return requests.toString();
     }
@@ -200,15 +201,15 @@
     void noticesDisconnectionBehindPipelinedRequests() throws Exception {
         for (int count : new int[] {2, 20, 2_000}) {
             try (SidecarFixture sidecar = new SidecarFixture()) {
-                sidecar.upstream((request, connection) -> {});
+                sidecar.addEndpoint((request, connection) -> {});
                 sidecar.start();
-                sidecar.await("list DELTA");
+                sidecar.awaitEvent("list DELTA");
                 try (StubServer.Client client = sidecar.client()) {
                     client.send(pipelined(count));
                 }
-                assertEquals("expired p0", sidecar.await("expired"));
+                assertEquals("expired p0", sidecar.awaitEvent("expired"));
                 try (StubServer.Client other = sidecar.client()) {
-                    other.send(SidecarFixture.get("other", 20_000));
+                    other.send(SidecarFixture.idempotentRequest("other", 20_000));
                     // No pipelined request was dispatched in between.
                     assertTrue(sidecar.events.take().startsWith("request other "));
                 }
@@ -224,14 +225,14 @@
     void limitsPipelinedRequests() throws Exception {
         ResponseGate gate = new ResponseGate();
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {
+            sidecar.addEndpoint((request, connection) -> {
                 gate.await();
                 connection.respond("200 OK", "", request.header("X-Txn"));
             });
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
                 client.send(pipelined(2_000));
-                sidecar.await("request p0");
+                sidecar.awaitEvent("request p0");
                 gate.open();
                 int served = 0;
                 StubServer.Message response;
@@ -252,17 +253,17 @@
     @Test
     void reservesDescriptorForUpstreamConnectionOfEachClient() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> {});
+            StubServer endpoint = sidecar.addEndpoint((request, connection) -> {});
             // 48 descriptors are reserved for the process; a third of all descriptors is for clients with requests.
             sidecar.descriptorLimit = 192;
             sidecar.start();
             StubServer.Client[] clients = new StubServer.Client[192 / 3];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = sidecar.client();
-                clients[i].send(SidecarFixture.get("c" + i, 30_000));
+                clients[i].send(SidecarFixture.idempotentRequest("c" + i, 30_000));
             }
             for (int i = 0; i < clients.length; i++) {
-                endpoint.next();
+                endpoint.nextRequest();
             }
             for (StubServer.Client client : clients) {
                 client.close();
@@ -270,20 +271,20 @@
         }
     }
 
-    /** The protocol requires this, however slowly the client sends the request. */
+    /** The protocol counts the deadline from the last byte, however slowly the client sends the request. */
     @Test
     void countsDeadlineFromLastByteOfRequest() throws Exception {
         try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (now, request, out) -> out.fail(request.id());
+            sidecar.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
             sidecar.start();
             try (StubServer.Client client = sidecar.client()) {
-                String request = SidecarFixture.get("slow", 200);
+                String request = SidecarFixture.idempotentRequest("slow", 200);
                 client.send(request.substring(0, request.length() / 2));
                 Thread.sleep(250);
                 client.send(request.substring(request.length() / 2));
-                assertEquals(502, client.status());
+                assertEquals(502, client.readStatus());
                 long remainingMicros =
-                        Long.parseLong(sidecar.await("request slow ").split(" ")[2]);
+                        Long.parseLong(sidecar.awaitEvent("request slow ").split(" ")[2]);
                 assertTrue(
                         remainingMicros > 100_000,
                         "the client waits for 200 ms, but the request was dispatched with " + remainingMicros
--- a/src/test/java/loadbalancer/proxy/client/ResponseGate.java
+++ b/src/test/java/loadbalancer/proxy/client/ResponseGate.java
@@ -3,7 +3,7 @@
 import java.io.InterruptedIOException;
 import java.util.concurrent.CountDownLatch;
 
-/** Blocks the responses of a stub server until the test opens the gate. An open gate stays open. */
+/** Blocks the handlers of a stub server until the test opens the gate. The gate then stays open. */
 final class ResponseGate {
     private final CountDownLatch opened = new CountDownLatch(1);
 
--- a/src/test/java/loadbalancer/proxy/configuration/SidecarConfigurationReaderTest.java
+++ b/src/test/java/loadbalancer/proxy/configuration/SidecarConfigurationReaderTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SidecarConfigurationReaderTest {
-    private static final String REQUIRED_FIELDS = "\"listen\":\"127.0.0.1:80\",\"discovery\":\"127.0.0.1:81\","
-            + "\"seed\":\"ff\",\"known\":" + SidecarFixture.list(1, true) + ",\"settings\":" + SidecarFixture.SETTINGS;
+    private static final String REQUIRED_FIELDS =
+            "\"listen\":\"127.0.0.1:80\",\"discovery\":\"127.0.0.1:81\"," + "\"seed\":\"ff\",\"known\":"
+                    + SidecarFixture.endpointListJson(1, true) + ",\"settings\":" + SidecarFixture.SETTINGS_JSON;
 
     @TempDir
     Path folder;
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
@@ -14,7 +14,7 @@
 
 @Timeout(60)
 class DiscoveryWatchTest {
-    private static final String READY = SidecarFixture.entry("u0", "127.0.0.1:9", "Ready", 0);
+    private static final String READY = SidecarFixture.endpointJson("u0", "127.0.0.1:9", "Ready", 0);
     private static final String DRAINING = READY.replace("Ready", "Terminating");
 
     private static final long HOUR_MILLIS = 3_600_000;
@@ -22,12 +22,12 @@
     /** No call times out during a test. */
     private static final WatchTimeouts HOUR_LONG_TIMEOUTS = new WatchTimeouts(HOUR_MILLIS, 0, HOUR_MILLIS);
 
-    private static final StubServer.Script SILENT = (request, connection) -> {};
+    private static final StubServer.RequestHandler SILENT = (request, connection) -> {};
 
     /**
-     * Returns a script that handles the n-th request by the n-th step. Requests after the last step get no response.
+     * Returns a handler that passes the n-th request to the n-th step. Requests after the last step get no response.
      */
-    private static StubServer.Script scriptOfSteps(StubServer.Script... steps) {
+    private static StubServer.RequestHandler handlerOfSteps(StubServer.RequestHandler... steps) {
         AtomicInteger requests = new AtomicInteger();
         return (request, connection) -> {
             int number = requests.getAndIncrement();
@@ -37,39 +37,39 @@
         };
     }
 
-    private static StubServer.Script respond(String body) {
+    private static StubServer.RequestHandler respond(String body) {
         return respond("200 OK", "", body);
     }
 
-    private static StubServer.Script respond(String status, String headers, String body) {
+    private static StubServer.RequestHandler respond(String status, String headers, String body) {
         return (request, connection) -> connection.respond(status, headers, body);
     }
 
-    private static StubServer.Script delta(long generation, String... entries) {
-        return respond(SidecarFixture.list(generation, false, entries));
+    private static StubServer.RequestHandler delta(long generation, String... entries) {
+        return respond(SidecarFixture.endpointListJson(generation, false, entries));
     }
 
-    private static StubServer.Script fullSnapshot(long generation, String... entries) {
-        return respond(SidecarFixture.list(generation, true, entries));
+    private static StubServer.RequestHandler fullSnapshot(long generation, String... entries) {
+        return respond(SidecarFixture.endpointListJson(generation, true, entries));
     }
 
     /** Creates a fixture that is not started. Its load balancer polls. */
-    private static SidecarFixture newPolledFixture(StubServer.Script discovery) throws Exception {
+    private static SidecarFixture newPolledFixture(StubServer.RequestHandler discovery) throws Exception {
         SidecarFixture fixture = new SidecarFixture(discovery);
-        fixture.upstream(SILENT);
+        fixture.addEndpoint(SILENT);
         return fixture;
     }
 
     /** Creates a fixture that is not started. Its load balancer never polls. */
-    private static SidecarFixture newPushedFixture(StubServer.Script discovery) throws Exception {
+    private static SidecarFixture newPushedFixture(StubServer.RequestHandler discovery) throws Exception {
         SidecarFixture fixture = newPolledFixture(discovery);
-        fixture.settings = fixture.settings.replace("on_request", "pushed");
+        fixture.settingsJson = fixture.settingsJson.replace("on_request", "pushed");
         fixture.pollsEndpoints = false;
         return fixture;
     }
 
     /** Starts a fixture whose load balancer never polls and whose watch pauses for an hour after a second failure. */
-    private static SidecarFixture startPushedFixture(WatchTimeouts timeouts, StubServer.Script discovery)
+    private static SidecarFixture startPushedFixture(WatchTimeouts timeouts, StubServer.RequestHandler discovery)
             throws Exception {
         SidecarFixture fixture = newPushedFixture(discovery);
         fixture.watchTimeouts = timeouts;
@@ -79,18 +79,18 @@
 
     @Test
     void continuesFromLatestGeneration() throws Exception {
-        try (SidecarFixture fixture = newPolledFixture(scriptOfSteps(
+        try (SidecarFixture fixture = newPolledFixture(handlerOfSteps(
                 delta(41),
                 delta(42, DRAINING),
-                respond("200 OK", "Connection: close\r\n", SidecarFixture.list(44, true, READY))))) {
+                respond("200 OK", "Connection: close\r\n", SidecarFixture.endpointListJson(44, true, READY))))) {
             fixture.start();
-            assertEquals("list CACHED u0=READY", fixture.await("list"));
+            assertEquals("list CACHED u0=READY", fixture.awaitEvent("list"));
             // The decision module has polled, so it is notified of the first response even without a change.
-            assertEquals("list DELTA ", fixture.await("list"));
-            assertEquals("list DELTA u0=DRAINING", fixture.await("list"));
-            assertEquals("list FULL u0=READY", fixture.await("list"));
+            assertEquals("list DELTA ", fixture.awaitEvent("list"));
+            assertEquals("list DELTA u0=DRAINING", fixture.awaitEvent("list"));
+            assertEquals("list FULL u0=READY", fixture.awaitEvent("list"));
             for (int index : new int[] {41, 41, 42, 44}) {
-                String path = fixture.discovery.next().path();
+                String path = fixture.discovery.nextRequest().path();
                 assertTrue(path.startsWith("/registry/instances?index=" + index + "&wait="), path);
             }
         }
@@ -107,39 +107,40 @@
             "null",
             "{\"generation\":50,\"reset\":true,\"instances\":[]}",
             "{\"generation\":50,\"reset\":true}",
-            SidecarFixture.list(40, false, READY),
-            SidecarFixture.list(50, false, READY.replace("Ready", "?")),
-            SidecarFixture.list(50, true, READY.replace("127.0.0.1:9", "nowhere")),
+            SidecarFixture.endpointListJson(40, false, READY),
+            SidecarFixture.endpointListJson(50, false, READY.replace("Ready", "?")),
+            SidecarFixture.endpointListJson(50, true, READY.replace("127.0.0.1:9", "nowhere")),
             "{\"generation\":50,\"reset\":true,\"instances\":[7]}"
         };
         for (String malformed : malformedLists) {
             try (SidecarFixture fixture =
-                    newPolledFixture(scriptOfSteps(respond(malformed), fullSnapshot(60, READY)))) {
+                    newPolledFixture(handlerOfSteps(respond(malformed), fullSnapshot(60, READY)))) {
                 fixture.start();
-                fixture.await("list CACHED");
-                assertEquals("list FAILED ", fixture.await("list"), malformed);
-                assertEquals("list FULL u0=READY", fixture.await("list"));
-                fixture.discovery.next();
-                assertEquals("/registry/instances", fixture.discovery.next().path(), malformed);
-                assertTrue(fixture.discovery.next().path().contains("?index=60&wait="));
+                fixture.awaitEvent("list CACHED");
+                assertEquals("list FAILED ", fixture.awaitEvent("list"), malformed);
+                assertEquals("list FULL u0=READY", fixture.awaitEvent("list"));
+                fixture.discovery.nextRequest();
+                assertEquals(
+                        "/registry/instances", fixture.discovery.nextRequest().path(), malformed);
+                assertTrue(fixture.discovery.nextRequest().path().contains("?index=60&wait="));
             }
         }
     }
 
     @Test
     void reportsFailedCallAndKeepsGeneration() throws Exception {
-        try (SidecarFixture fixture = newPolledFixture(scriptOfSteps(
+        try (SidecarFixture fixture = newPolledFixture(handlerOfSteps(
                 respond("503 Down", "", ""),
                 (request, connection) -> connection.reset(),
                 (request, connection) -> connection.write("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n"),
                 delta(43, READY)))) {
             fixture.start();
-            fixture.await("list CACHED");
+            fixture.awaitEvent("list CACHED");
             for (int i = 0; i < 3; i++) {
-                assertEquals("list FAILED ", fixture.await("list"));
-                assertTrue(fixture.discovery.next().path().contains("?index=41&wait="));
+                assertEquals("list FAILED ", fixture.awaitEvent("list"));
+                assertTrue(fixture.discovery.nextRequest().path().contains("?index=41&wait="));
             }
-            assertEquals("list DELTA u0=READY", fixture.await("list"));
+            assertEquals("list DELTA u0=READY", fixture.awaitEvent("list"));
         }
     }
 
@@ -149,12 +150,12 @@
     @Test
     void watchesPushedListsWithoutPoll() throws Exception {
         try (SidecarFixture fixture =
-                newPushedFixture(scriptOfSteps(delta(41), respond("503 Down", "", ""), delta(42, READY)))) {
+                newPushedFixture(handlerOfSteps(delta(41), respond("503 Down", "", ""), delta(42, READY)))) {
             fixture.start();
-            fixture.await("list CACHED");
+            fixture.awaitEvent("list CACHED");
             assertEquals(
                     "list DELTA u0=READY",
-                    fixture.await("list"),
+                    fixture.awaitEvent("list"),
                     "notified of a failure that it did not poll for, or of a delta without changes");
         }
     }
@@ -168,21 +169,21 @@
     void requestsFullSnapshotFromNewServiceAtOnce() throws Exception {
         try (StubServer newService = new StubServer((request, connection) -> {
                     if (request.path().equals("/registry/instances")) {
-                        connection.respond("200 OK", "", SidecarFixture.list(3, true, READY));
+                        connection.respond("200 OK", "", SidecarFixture.endpointListJson(3, true, READY));
                     }
                 });
                 SidecarFixture fixture = newPolledFixture(SILENT)) {
             fixture.watchTimeouts = HOUR_LONG_TIMEOUTS;
             fixture.start();
-            fixture.await("list CACHED");
-            assertTrue(fixture.discovery.next().path().contains("?index=41&wait="));
+            fixture.awaitEvent("list CACHED");
+            assertTrue(fixture.discovery.nextRequest().path().contains("?index=41&wait="));
             fixture.reload(newService.address());
             assertEquals("list FULL u0=READY", fixture.events.poll(20, TimeUnit.SECONDS));
-            assertEquals("/registry/instances", newService.next().path());
-            assertTrue(newService.next().path().contains("?index=3&wait="));
+            assertEquals("/registry/instances", newService.nextRequest().path());
+            assertTrue(newService.nextRequest().path().contains("?index=3&wait="));
             assertEquals(
                     -1,
-                    fixture.discovery.accepted.take().getInputStream().read(),
+                    fixture.discovery.acceptedSockets.take().getInputStream().read(),
                     "the connection to the previous service was left open");
         }
     }
@@ -190,22 +191,22 @@
     /** The sidecar is expected to know changes even while no call is open, so the call is repeated without a pause. */
     @Test
     void repeatsCallAtOnceAfterConnectionLoss() throws Exception {
-        StubServer.Script unchanged = (request, connection) -> connection.respond(
-                "200 OK", "", SidecarFixture.list(request.path().contains("=41&") ? 41 : 42, false));
+        StubServer.RequestHandler unchanged = (request, connection) -> connection.respond(
+                "200 OK", "", SidecarFixture.endpointListJson(request.path().contains("=41&") ? 41 : 42, false));
         try (SidecarFixture fixture = startPushedFixture(
                 HOUR_LONG_TIMEOUTS,
-                scriptOfSteps(
+                handlerOfSteps(
                         unchanged,
                         (request, connection) -> connection.reset(),
                         delta(42, DRAINING),
                         (request, connection) -> connection.socket().close(),
                         delta(43, READY),
                         unchanged))) {
-            fixture.await("list CACHED");
-            assertEquals("list DELTA u0=DRAINING", fixture.await("list"));
+            fixture.awaitEvent("list CACHED");
+            assertEquals("list DELTA u0=DRAINING", fixture.awaitEvent("list"));
             assertEquals(
                     "list DELTA u0=READY",
-                    fixture.await("list"),
+                    fixture.awaitEvent("list"),
                     "a failure after a success was not counted as a first failure");
         }
     }
@@ -217,13 +218,14 @@
         try (SidecarFixture fixture =
                 startPushedFixture(new WatchTimeouts(1, 100, HOUR_MILLIS), (request, connection) -> {
                     switch (calls.incrementAndGet()) {
-                        case 1 -> connection.respond("200 OK", "", SidecarFixture.list(41, false));
+                        case 1 -> connection.respond("200 OK", "", SidecarFixture.endpointListJson(41, false));
                         case 2 -> {}
-                        default -> connection.respond("200 OK", "", SidecarFixture.list(42, false, DRAINING));
+                        default -> connection.respond(
+                                "200 OK", "", SidecarFixture.endpointListJson(42, false, DRAINING));
                     }
                 })) {
-            fixture.await("list CACHED");
-            assertEquals("list DELTA u0=DRAINING", fixture.await("list"));
+            fixture.awaitEvent("list CACHED");
+            assertEquals("list DELTA u0=DRAINING", fixture.awaitEvent("list"));
         }
     }
 
@@ -252,8 +254,8 @@
         })) {
             StubServer.Connection firstCall = firstCalls.poll(20, TimeUnit.SECONDS);
             assertEquals(503, readinessStatus(fixture));
-            firstCall.respond("200 OK", "", SidecarFixture.list(42, false, READY));
-            assertEquals("list DELTA u0=READY", fixture.await("list DELTA"));
+            firstCall.respond("200 OK", "", SidecarFixture.endpointListJson(42, false, READY));
+            assertEquals("list DELTA u0=READY", fixture.awaitEvent("list DELTA"));
             assertEquals(200, readinessStatus(fixture));
         }
     }
@@ -270,7 +272,7 @@
 
     private static int readinessStatus(SidecarFixture fixture) throws Exception {
         try (StubServer.Client client = fixture.client()) {
-            return client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status();
+            return client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").readStatus();
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListCursorTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListCursorTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointListCursorTest {
-    private static final String ENTRY = SidecarFixture.entry("u0", "127.0.0.1:9", "Ready", 0);
+    private static final String ENTRY = SidecarFixture.endpointJson("u0", "127.0.0.1:9", "Ready", 0);
 
     private final EndpointListCursor cursor = new EndpointListCursor(41);
 
     private static EndpointList list(long generation, boolean fullSnapshot, String... entries) {
-        return EndpointList.parse(
-                SidecarFixture.list(generation, fullSnapshot, entries).getBytes(StandardCharsets.UTF_8));
+        return EndpointList.parse(SidecarFixture.endpointListJson(generation, fullSnapshot, entries)
+                .getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
@@ -39,8 +39,8 @@
     @Test
     void failsOnlyRequestInWhichLoadBalancerThrows() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream(StubServer.respondingWith("ok"));
-            fixture.onRequest = (now, request, actions) -> {
+            fixture.addEndpoint(StubServer.respondingWith("ok"));
+            fixture.onRequest = (nowMicros, request, actions) -> {
                 if (request.id().startsWith("failure-")) {
                     FAILURES.get(Integer.parseInt(request.id().substring("failure-".length())))
                             .run();
@@ -52,10 +52,10 @@
                 for (int i = 0; i < FAILURES.size(); i++) {
                     // A request that is not answered at once waits until its deadline, which exceeds the time limit of
                     // the test.
-                    client.send(SidecarFixture.get("failure-" + i, 60_000));
-                    assertEquals(502, client.status());
-                    client.send(SidecarFixture.get("next-" + i, 20_000));
-                    assertEquals(200, client.status());
+                    client.send(SidecarFixture.idempotentRequest("failure-" + i, 60_000));
+                    assertEquals(502, client.readStatus());
+                    client.send(SidecarFixture.idempotentRequest("next-" + i, 20_000));
+                    assertEquals(200, client.readStatus());
                 }
             }
         }
@@ -65,13 +65,13 @@
     @Test
     void runsPeriodicTasksAfterFailure() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.onRequest = (now, request, actions) -> actions.startTimer("break", 1_000);
+            fixture.onRequest = (nowMicros, request, actions) -> actions.startTimer("break", 1_000);
             fixture.start();
             try (StubServer.Client active = fixture.client();
                     StubServer.Client silent = fixture.client()) {
-                active.send(SidecarFixture.get("a", 60_000));
+                active.send(SidecarFixture.idempotentRequest("a", 60_000));
                 // The load balancer throws in its timer, and the requests without an attempt in flight are answered.
-                assertEquals(502, active.status());
+                assertEquals(502, active.readStatus());
                 // The maintenance still disconnects a silent client.
                 assertEquals(true, silent.isClosedBySidecar());
             }
--- a/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
+++ b/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
@@ -37,7 +37,7 @@
                 SidecarFixture fixture = new SidecarFixture()) {
             fixture.gossipFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + broadcastReceiver.getLocalPort() + "\",";
-            fixture.onRequest = (now, request, actions) -> {
+            fixture.onRequest = (nowMicros, request, actions) -> {
                 actions.sendGossip(1, new byte[5]);
                 actions.sendGossip(7, new byte[5]);
                 actions.sendGossip(1, new byte[257]);
@@ -47,8 +47,8 @@
             };
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals(502, client.status());
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                assertEquals(502, client.readStatus());
             }
             DatagramPacket first = receive(peer);
             assertEquals(5, first.getLength());
@@ -60,8 +60,8 @@
             peer.send(new DatagramPacket(new byte[257], 257, sidecar));
             peer.send(new DatagramPacket(new byte[0], 0, sidecar));
             peer.send(new DatagramPacket(new byte[256], 256, sidecar));
-            assertEquals("peer 1 0", fixture.await("peer"));
-            assertEquals("peer 1 256", fixture.await("peer"));
+            assertEquals("peer 1 0", fixture.awaitEvent("peer"));
+            assertEquals("peer 1 256", fixture.awaitEvent("peer"));
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -17,8 +17,8 @@
  */
 @Timeout(60)
 class ConfigurationReloadTest {
-    private static String get(String requestId, String requestClass) {
-        return SidecarFixture.get(requestId, 20_000).replace("X-Lane: c", "X-Lane: " + requestClass);
+    private static String requestOfClass(String requestId, String requestClass) {
+        return SidecarFixture.idempotentRequest(requestId, 20_000).replace("X-Lane: c", "X-Lane: " + requestClass);
     }
 
     private static void assertResponseStartsWith(String prefix, SidecarFixture fixture, String request)
@@ -34,38 +34,38 @@
     void appliesNewSettingsToNewRequestsAndAnswersRequestsInFlight() throws Exception {
         CountDownLatch reloaded = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer endpoint = fixture.upstream((request, connection) -> {
+            StubServer endpoint = fixture.addEndpoint((request, connection) -> {
                 StubServer.awaitLatch(reloaded);
                 connection.respond("200 OK", "", request.header("X-Txn"));
             });
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
-                client.send(get("in-flight", "c"));
-                endpoint.next();
-                assertResponseStartsWith("HTTP/1.1 400 ", fixture, get("n0", "added"));
-                fixture.settings = SidecarFixture.SETTINGS
+                client.send(requestOfClass("in-flight", "c"));
+                endpoint.nextRequest();
+                assertResponseStartsWith("HTTP/1.1 400 ", fixture, requestOfClass("n0", "added"));
+                fixture.settingsJson = SidecarFixture.SETTINGS_JSON
                         .replace("\"name\":\"c\"", "\"name\":\"added\"")
                         .replace("\"max_attempts\":4", "\"max_attempts\":1");
                 fixture.reload(fixture.discovery.address());
-                assertEquals("settings added,k", fixture.await("settings"));
+                assertEquals("settings added,k", fixture.awaitEvent("settings"));
                 reloaded.countDown();
                 assertEquals("in-flight", client.readResponse().body());
-                assertResponseStartsWith("HTTP/1.1 200 ", fixture, get("n1", "added"));
-                assertResponseStartsWith("HTTP/1.1 400 ", fixture, get("n2", "c"));
+                assertResponseStartsWith("HTTP/1.1 200 ", fixture, requestOfClass("n1", "added"));
+                assertResponseStartsWith("HTTP/1.1 400 ", fixture, requestOfClass("n2", "c"));
                 retryUntilNotSent(fixture);
-                endpoint.script = (request, connection) -> connection.respond("500 No", "", "");
-                assertEquals(502, client.send(get("n3", "added")).status());
-                assertEquals("outcome n3 0 ERROR false -", fixture.await("outcome n3"));
-                assertEquals("outcome n3 1 NOT_SENT false -", fixture.await("outcome n3"));
+                endpoint.handler = (request, connection) -> connection.respond("500 No", "", "");
+                assertEquals(502, client.send(requestOfClass("n3", "added")).readStatus());
+                assertEquals("outcome n3 0 ERROR false -", fixture.awaitEvent("outcome n3"));
+                assertEquals("outcome n3 1 NOT_SENT false -", fixture.awaitEvent("outcome n3"));
             }
         }
     }
 
     private static void retryUntilNotSent(SidecarFixture fixture) {
-        fixture.onOutcome = (requestId, outcome, done, actions) -> {
+        fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
             if (outcome == AttemptOutcome.NOT_SENT) {
                 actions.fail(requestId);
-            } else if (!done) {
+            } else if (!requestDone) {
                 actions.sendAttempt(requestId, "u0", 0);
             }
         };
@@ -83,16 +83,19 @@
             {"\"fall_multiple\":3", "\"fall_multiple\":\"three\"", "no number"},
         };
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream(StubServer.echoingRequestId());
+            fixture.addEndpoint(StubServer.echoingRequestId());
             fixture.start();
             for (String[] replacementAndMessage : replacementsAndMessages) {
-                fixture.settings = SidecarFixture.SETTINGS.replace(replacementAndMessage[0], replacementAndMessage[1]);
+                fixture.settingsJson =
+                        SidecarFixture.SETTINGS_JSON.replace(replacementAndMessage[0], replacementAndMessage[1]);
                 ConfigurationException e =
                         assertThrows(ConfigurationException.class, () -> fixture.reload("127.0.0.1:9"));
                 assertTrue(e.getMessage().contains(replacementAndMessage[2]), e.getMessage());
             }
             try (StubServer.Client client = fixture.client()) {
-                assertEquals("r", client.send(get("r", "c")).readResponse().body());
+                assertEquals(
+                        "r",
+                        client.send(requestOfClass("r", "c")).readResponse().body());
             }
             fixture.events.forEach(event -> assertTrue(!event.startsWith("settings"), event));
         }
@@ -101,7 +104,8 @@
     /** If only the discovery address changes, the load balancer has to keep what it has learned. */
     @Test
     void doesNotNotifyLoadBalancerOfUnchangedSettings() throws Exception {
-        String endpoints = SidecarFixture.list(7, true, SidecarFixture.entry("u5", "127.0.0.1:9", "Ready", 0));
+        String endpoints =
+                SidecarFixture.endpointListJson(7, true, SidecarFixture.endpointJson("u5", "127.0.0.1:9", "Ready", 0));
         try (SidecarFixture fixture = new SidecarFixture();
                 StubServer otherDiscovery = new StubServer(StubServer.respondingWith(endpoints))) {
             fixture.start();
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
@@ -27,9 +27,9 @@
         List<StubServer.Client> idleClients = new ArrayList<>();
         try (SidecarFixture fixture = new SidecarFixture((request, connection) -> {})) {
             fixture.descriptorLimit = descriptorLimit;
-            fixture.upstream(StubServer.respondingWith("served"));
+            fixture.addEndpoint(StubServer.respondingWith("served"));
             fixture.start();
-            fixture.await("list FAILED");
+            fixture.awaitEvent("list FAILED");
             try {
                 for (int i = 0; i < descriptorLimit; i++) {
                     idleClients.add(fixture.client());
@@ -37,19 +37,20 @@
                 // This client waits in the backlog behind all idle clients. It is accepted because connections of
                 // silent clients are closed after a while.
                 try (StubServer.Client active = fixture.client()) {
-                    active.send(SidecarFixture.get("active", 20_000));
+                    active.send(SidecarFixture.idempotentRequest("active", 20_000));
                     assertEquals("served", active.readResponse().body());
                 }
                 assertConnectionsWithinLimit(fixture, descriptorLimit);
-                fixture.discovery.script = (request, connection) -> {
+                fixture.discovery.handler = (request, connection) -> {
                     if (request.path().contains("index=41&")) {
                         connection.respond(
                                 "200 OK",
                                 "",
-                                SidecarFixture.list(42, false, SidecarFixture.entry("u9", "127.0.0.1:9", "Ready", 0)));
+                                SidecarFixture.endpointListJson(
+                                        42, false, SidecarFixture.endpointJson("u9", "127.0.0.1:9", "Ready", 0)));
                     }
                 };
-                fixture.await("list DELTA u9=READY");
+                fixture.awaitEvent("list DELTA u9=READY");
                 assertConnectionsWithinLimit(fixture, descriptorLimit);
             } finally {
                 closeAll(idleClients);
@@ -75,7 +76,7 @@
         try (SidecarFixture fixture = new SidecarFixture()) {
             // Allows 32 connections, of which 20 may be client connections.
             fixture.descriptorLimit = 80;
-            fixture.onRequest = (now, request, actions) -> {
+            fixture.onRequest = (nowMicros, request, actions) -> {
                 if (!request.id().startsWith("held")) {
                     actions.fail(request.id());
                 }
@@ -84,14 +85,15 @@
             List<StubServer.Client> busyClients = new ArrayList<>();
             try {
                 for (int i = 0; i < 20; i++) {
-                    busyClients.add(fixture.client().send(SidecarFixture.get("held-" + i, 50_000)));
-                    fixture.await("request held-" + i);
+                    busyClients.add(fixture.client().send(SidecarFixture.idempotentRequest("held-" + i, 50_000)));
+                    fixture.awaitEvent("request held-" + i);
                 }
-                try (StubServer.Client waiting = fixture.client().send(SidecarFixture.get("waiting", 10_000))) {
+                try (StubServer.Client waiting =
+                        fixture.client().send(SidecarFixture.idempotentRequest("waiting", 10_000))) {
                     Thread.sleep(1_000);
                     busyClients.remove(0).close();
-                    assertEquals(502, waiting.status());
-                    long remainingMicros = SidecarFixture.remainingMicros(fixture.await("request waiting"));
+                    assertEquals(502, waiting.readStatus());
+                    long remainingMicros = SidecarFixture.remainingMicros(fixture.awaitEvent("request waiting"));
                     assertTrue(
                             remainingMicros > 5_000_000 && remainingMicros < 9_100_000, "remaining " + remainingMicros);
                 }
@@ -99,9 +101,9 @@
                 busyClients.remove(0).close();
                 try (StubServer.Client later = fixture.client()) {
                     Thread.sleep(200);
-                    later.send(SidecarFixture.get("later", 10_000));
-                    assertEquals(502, later.status());
-                    assertTrue(SidecarFixture.remainingMicros(fixture.await("request later")) > 9_900_000);
+                    later.send(SidecarFixture.idempotentRequest("later", 10_000));
+                    assertEquals(502, later.readStatus());
+                    assertTrue(SidecarFixture.remainingMicros(fixture.awaitEvent("request later")) > 9_900_000);
                 }
             } finally {
                 closeAll(busyClients);
--- a/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
@@ -14,7 +14,7 @@
 @Timeout(60)
 class GracefulShutdownTest {
     /** Echoes the request id; if the id has the prefix, only after the latch is released. */
-    private static StubServer.Script echoingIdAndHolding(String prefix, CountDownLatch released) {
+    private static StubServer.RequestHandler echoingIdAndHolding(String prefix, CountDownLatch released) {
         return (request, connection) -> {
             if (request.header("X-Txn").startsWith(prefix)) {
                 StubServer.awaitLatch(released);
@@ -32,21 +32,21 @@
     void servesNewConnectionsAndPartialRequestsDuringShutdown() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             CountDownLatch released = new CountDownLatch(1);
-            fixture.upstream(echoingIdAndHolding("held", released));
+            fixture.addEndpoint(echoingIdAndHolding("held", released));
             fixture.start();
             CountDownLatch stopped = new CountDownLatch(1);
             try (StubServer.Client held = fixture.client();
                     StubServer.Client partial = fixture.client();
                     StubServer.Client idle = fixture.client()) {
-                held.send(SidecarFixture.get("held", 30_000));
-                fixture.await("request held");
-                idle.send(SidecarFixture.get("before", 30_000));
+                held.send(SidecarFixture.idempotentRequest("held", 30_000));
+                fixture.awaitEvent("request held");
+                idle.send(SidecarFixture.idempotentRequest("before", 30_000));
                 assertEquals("before", idle.readResponse().body());
-                String partialRequest = SidecarFixture.get("partial", 30_000);
+                String partialRequest = SidecarFixture.idempotentRequest("partial", 30_000);
                 partial.send(partialRequest.substring(0, 30));
                 fixture.sidecar.shutDownGracefully(stopped::countDown);
                 try (StubServer.Client connectedLater = fixture.client()) {
-                    connectedLater.send(SidecarFixture.get("later", 30_000));
+                    connectedLater.send(SidecarFixture.idempotentRequest("later", 30_000));
                     assertLastResponse("later", connectedLater.readResponse());
                     assertEquals(null, connectedLater.readResponse());
                 }
@@ -71,7 +71,7 @@
     void servesClientsThatWaitInBacklogForDescriptors() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
-            StubServer endpoint = fixture.upstream(echoingIdAndHolding("held", released));
+            StubServer endpoint = fixture.addEndpoint(echoingIdAndHolding("held", released));
             // 48 descriptors are reserved. The other 32 are used by 15 requests, each with a client connection and an
             // upstream connection, and by 2 idle clients.
             fixture.descriptorLimit = 48 + 32;
@@ -80,15 +80,15 @@
             StubServer.Client[] held = new StubServer.Client[15];
             for (int i = 0; i < held.length; i++) {
                 held[i] = fixture.client();
-                held[i].send(SidecarFixture.get("held" + i, 30_000));
-                endpoint.next();
+                held[i].send(SidecarFixture.idempotentRequest("held" + i, 30_000));
+                endpoint.nextRequest();
             }
             try (StubServer.Client firstIdle = fixture.client();
                     StubServer.Client secondIdle = fixture.client()) {
                 assertNotFound(firstIdle);
                 assertNotFound(secondIdle);
                 try (StubServer.Client waiting = fixture.client()) {
-                    waiting.send(SidecarFixture.get("waiting", 30_000));
+                    waiting.send(SidecarFixture.idempotentRequest("waiting", 30_000));
                     fixture.sidecar.shutDownGracefully(stopped::countDown);
                     assertTrue(firstIdle.isClosedBySidecar());
                     assertTrue(secondIdle.isClosedBySidecar());
@@ -106,28 +106,31 @@
 
     private static void assertNotFound(StubServer.Client client) throws Exception {
         client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals(404, client.status());
+        assertEquals(404, client.readStatus());
     }
 
     /** The platform kills the process some time after the longest deadline; a later response would not be sent. */
     @Test
     void limitsDeadlinesDuringShutdownToTimeBeforeProcessIsKilled() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream((request, connection) -> {});
+            fixture.addEndpoint((request, connection) -> {});
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
-                client.send(SidecarFixture.get("before", 30_000));
-                assertTrue(SidecarFixture.remainingMicros(fixture.await("request before")) > 20_000_000);
+                client.send(SidecarFixture.idempotentRequest("before", 30_000));
+                assertTrue(SidecarFixture.remainingMicros(fixture.awaitEvent("request before")) > 20_000_000);
                 fixture.sidecar.shutDownGracefully(() -> {});
                 try (StubServer.Client connectedLater = fixture.client()) {
-                    connectedLater.send(SidecarFixture.get("later", 30_000));
-                    assertTrue(SidecarFixture.remainingMicros(fixture.await("request later")) <= 3_700_000);
+                    connectedLater.send(SidecarFixture.idempotentRequest("later", 30_000));
+                    assertTrue(SidecarFixture.remainingMicros(fixture.awaitEvent("request later")) <= 3_700_000);
                 }
             }
         }
     }
 
-    /** A client that stops sending in the middle of a request must not delay the end for longer than a client waits. */
+    /**
+     * A client that stops sending in the middle of a request must not delay the end of the shutdown for longer than a
+     * client waits for a response.
+     */
     @Test
     void completesShutdownDespiteSilentClient() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
@@ -137,28 +140,31 @@
                 partial.send("GET /api HTTP/1.1\r\nX-T");
                 fixture.sidecar.shutDownGracefully(stopped::countDown);
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
-                assertEquals(408, partial.status());
+                assertEquals(408, partial.readStatus());
             }
         }
     }
 
-    /** Otherwise an application that opens a connection for each request would use up the descriptors for clients. */
+    /**
+     * If idle connections were not limited, an application that opens a connection for each request would use up the
+     * descriptors for clients.
+     */
     @Test
     void closesConnectionWithResponseBeyondIdleLimit() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream(StubServer.respondingWith("ok"));
+            fixture.addEndpoint(StubServer.respondingWith("ok"));
             fixture.descriptorLimit = 120;
             fixture.start();
             StubServer.Client[] clients = new StubServer.Client[120 / 12 + 2];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = fixture.client();
-                clients[i].send(SidecarFixture.get("c" + i, 30_000));
+                clients[i].send(SidecarFixture.idempotentRequest("c" + i, 30_000));
                 String connectionHeader = clients[i].readResponse().header("Connection");
                 assertEquals(i < 120 / 12 ? null : "close", connectionHeader, "connection " + i);
             }
             assertTrue(clients[clients.length - 1].isClosedBySidecar());
             // A connection that is in use again or is closed does not count as idle.
-            clients[0].send(SidecarFixture.get("again", 30_000));
+            clients[0].send(SidecarFixture.idempotentRequest("again", 30_000));
             assertEquals(null, clients[0].readResponse().header("Connection"));
             closeAll(clients);
         }
@@ -168,14 +174,14 @@
     @Test
     void closesLongestIdleConnectionForNewClient() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream(StubServer.respondingWith("ok"));
+            fixture.addEndpoint(StubServer.respondingWith("ok"));
             fixture.descriptorLimit = 64 + 2 * 16;
             fixture.start();
             StubServer.Client[] clients = new StubServer.Client[40];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = fixture.client();
-                clients[i].send(SidecarFixture.get("c" + i, 30_000));
-                assertEquals(200, clients[i].status());
+                clients[i].send(SidecarFixture.idempotentRequest("c" + i, 30_000));
+                assertEquals(200, clients[i].readStatus());
             }
             assertEquals(null, clients[0].readResponse());
             closeAll(clients);
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -24,8 +24,8 @@
     @Test
     void answersOverdueRequestsFirstAndFailsRequestsThatWaitedTooLong() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream(StubServer.respondingWith("ok"));
-            fixture.onRequest = (now, request, actions) -> {
+            fixture.addEndpoint(StubServer.respondingWith("ok"));
+            fixture.onRequest = (nowMicros, request, actions) -> {
                 if (!request.id().startsWith("held")) {
                     actions.sendAttempt(request.id(), "u0", 0);
                 }
@@ -35,20 +35,20 @@
                     StubServer.Client second = fixture.client();
                     StubServer.Client tooLate = fixture.client();
                     StubServer.Client inTime = fixture.client()) {
-                first.send(SidecarFixture.get("held-1", SHORT_DEADLINE_MILLIS + 100));
-                fixture.await("request held-1");
-                second.send(SidecarFixture.get("held-2", SHORT_DEADLINE_MILLIS));
-                fixture.await("request held-2");
+                first.send(SidecarFixture.idempotentRequest("held-1", SHORT_DEADLINE_MILLIS + 100));
+                fixture.awaitEvent("request held-1");
+                second.send(SidecarFixture.idempotentRequest("held-2", SHORT_DEADLINE_MILLIS));
+                fixture.awaitEvent("request held-2");
                 CountDownLatch unblocked = blockEventLoop(fixture);
                 // Both requests wait in their sockets while the loop is blocked.
-                tooLate.send(SidecarFixture.get("short", SHORT_DEADLINE_MILLIS));
-                inTime.send(SidecarFixture.get("long", LONG_DEADLINE_MILLIS));
+                tooLate.send(SidecarFixture.idempotentRequest("short", SHORT_DEADLINE_MILLIS));
+                inTime.send(SidecarFixture.idempotentRequest("long", LONG_DEADLINE_MILLIS));
                 Thread.sleep(BLOCKED_MILLIS);
                 unblocked.countDown();
-                assertEquals(502, first.status());
-                assertEquals(502, second.status());
-                assertEquals(502, tooLate.status());
-                assertEquals(200, inTime.status());
+                assertEquals(502, first.readStatus());
+                assertEquals(502, second.readStatus());
+                assertEquals(502, tooLate.readStatus());
+                assertEquals(200, inTime.readStatus());
                 assertEventsAfterBlocking(fixture);
             }
         }
@@ -81,7 +81,7 @@
     @Test
     void makesResponsesDueEarlierAfterLag() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.onRequest = (now, request, actions) -> {};
+            fixture.onRequest = (nowMicros, request, actions) -> {};
             fixture.start();
             assertTrue(
                     remainingMicrosOf(fixture, "before", LONG_DEADLINE_MILLIS) > (LONG_DEADLINE_MILLIS - 100) * 1000);
@@ -99,8 +99,8 @@
     private static long remainingMicrosOf(SidecarFixture fixture, String requestId, long deadlineMillis)
             throws Exception {
         try (StubServer.Client client = fixture.client()) {
-            client.send(SidecarFixture.get(requestId, deadlineMillis));
-            return SidecarFixture.remainingMicros(fixture.await("request " + requestId));
+            client.send(SidecarFixture.idempotentRequest(requestId, deadlineMillis));
+            return SidecarFixture.remainingMicros(fixture.awaitEvent("request " + requestId));
         }
     }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -23,8 +23,8 @@
     void servesSomeRequestsThroughLoadBalancerAndSockets() throws Exception {
         AtomicInteger servedAttempts = new AtomicInteger();
         CountDownLatch enoughServed = new CountDownLatch(1);
-        LoadBalancerFactory countingFactory = (config, now, actions) -> {
-            LoadBalancer policy = new LoadBalancingPolicy(config.settings(), config.seed(), now, actions);
+        LoadBalancerFactory countingFactory = (config, nowMicros, actions) -> {
+            LoadBalancer policy = new LoadBalancingPolicy(config.settings(), config.seed(), nowMicros, actions);
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(),
                     new Class<?>[] {LoadBalancer.class},
@@ -38,10 +38,11 @@
                     });
         };
         StartupWarmUp warmUp = new StartupWarmUp(
-                SidecarFixture.config("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\","
-                        + "\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":" + SidecarFixture.list(1, true)
+                SidecarFixture.parseConfiguration("{\"name\":\"n\",\"listen\":\"127.0.0.1:0\","
+                        + "\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":"
+                        + SidecarFixture.endpointListJson(1, true)
                         + ",\"settings\":"
-                        + SidecarFixture.SETTINGS + "}"),
+                        + SidecarFixture.SETTINGS_JSON + "}"),
                 countingFactory);
         warmUp.run();
         assertTrue(enoughServed.await(0, TimeUnit.SECONDS), servedAttempts + " were served");
@@ -53,20 +54,20 @@
     void servesRequestBeforeReadinessAndThenEndsWarmUp() throws Exception {
         CountDownLatch warmUpInterrupted = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
-            fixture.upstream(StubServer.respondingWith("ok"));
-            fixture.warmUpInterrupt = warmUpInterrupted::countDown;
+            fixture.addEndpoint(StubServer.respondingWith("ok"));
+            fixture.onRequestDuringWarmUp = warmUpInterrupted::countDown;
             fixture.start();
-            fixture.await("list DELTA");
+            fixture.awaitEvent("list DELTA");
             try (StubServer.Client client = fixture.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(503, client.status());
+                assertEquals(503, client.readStatus());
                 assertEquals(1, warmUpInterrupted.getCount());
-                client.send(SidecarFixture.get("a1", 20_000));
-                assertEquals(200, client.status());
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                assertEquals(200, client.readStatus());
                 assertTrue(warmUpInterrupted.await(20, TimeUnit.SECONDS));
                 fixture.sidecar.warmUpCompleted();
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(200, client.status());
+                assertEquals(200, client.readStatus());
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
+++ b/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
@@ -13,8 +13,8 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * Records each call as a line in the events of its fixture, and acts as the fixture's handlers say. Fails in a timer
- * named {@code break}.
+ * Records each call as a line in the events of its fixture, and takes its actions in the callbacks of the fixture.
+ * Throws an exception when a timer named {@code break} fires.
  */
 final class RecordingLoadBalancer implements LoadBalancer {
     private final SidecarFixture fixture;
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -25,11 +25,12 @@
 
 /**
  * A real sidecar in this process, on ephemeral loopback ports, with stub servers as its endpoints and discovery. Its
- * load balancer is scripted by the test and records each of its calls as a line in {@link #events}. Fields are to be
- * set before {@link #start}, except {@link #onRequest}, {@link #onOutcome} and {@link #settings}.
+ * load balancer takes the actions that the callbacks of the test decide on, {@link #onRequest} and {@link #onOutcome},
+ * and records each of its calls as a line in {@link #events}. A test sets the fields before it calls {@link #start};
+ * only the two callbacks and {@link #settingsJson} may change later.
  */
 public final class SidecarFixture implements AutoCloseable {
-    public static final String SETTINGS =
+    public static final String SETTINGS_JSON =
             """
             {"me":0,"balancers":2,"zone":"za","azs":["za"],"kinds":["k"],"discovery":"on_request",
              "profiles":[{"name":"c","semantics":"safe","objective_us":300000,"give_up_us":60000000},
@@ -44,33 +45,40 @@
 
     private static final String WAIT_PARAMETER = "&wait=";
 
-    /** What the load balancer does with a request; called on the event loop. */
-    public interface RequestHandler {
-        void handle(long now, Request request, LoadBalancerActions out);
+    /** Decides which actions the load balancer takes on a new request; called on the event loop. */
+    public interface RequestCallback {
+        void handle(long nowMicros, Request request, LoadBalancerActions actions);
     }
 
-    /** What the load balancer does with the result of an attempt; called on the event loop. */
-    public interface OutcomeHandler {
-        void handle(String requestId, AttemptOutcome outcome, boolean done, LoadBalancerActions out);
+    /** Decides which actions the load balancer takes on the outcome of an attempt; called on the event loop. */
+    public interface OutcomeCallback {
+        void handle(String requestId, AttemptOutcome outcome, boolean requestDone, LoadBalancerActions actions);
     }
 
-    /** One line for each call of the load balancer: its kind, the identifier and the values that tests look at. */
+    /**
+     * One line for each call of the load balancer, in the order of the calls: the kind of the call, then the id and the
+     * values that tests check, separated by spaces. {@link RecordingLoadBalancer} defines the lines.
+     */
     public final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-    /** The endpoints of the list that the sidecar starts with, with the identifiers {@code u0}, {@code u1}, ... */
+    /** The endpoints of the list that the sidecar starts with. Their ids are {@code u0}, {@code u1} and so on. */
     public final List<StubServer> endpointServers = new ArrayList<>();
 
     public final StubServer discovery;
-    public volatile RequestHandler onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
-    public volatile OutcomeHandler onOutcome = (id, outcome, done, out) -> {
-        if (!done) {
-            out.fail(id);
+    /** By default, sends each request to the endpoint {@code u0}. */
+    public volatile RequestCallback onRequest =
+            (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+    /** By default, fails a request whose attempt did not complete it. */
+    public volatile OutcomeCallback onOutcome = (requestId, outcome, requestDone, actions) -> {
+        if (!requestDone) {
+            actions.fail(requestId);
         }
     };
+
     public Sidecar sidecar;
-    /** Fields of the configuration file for gossip, each with a comma behind it. */
+    /** Fields of the configuration file for gossip, each followed by a comma. */
     public String gossipFields = "";
 
-    public String settings = SETTINGS;
+    public String settingsJson = SETTINGS_JSON;
     /** Whether the load balancer polls discovery at the start and after each failed call. */
     public boolean pollsEndpoints = true;
 
@@ -78,19 +86,20 @@
     public WatchTimeouts watchTimeouts = WatchTimeouts.DEFAULT;
     public ExponentialBackoff backoff = DiscoveryWatch.defaultBackoff();
     /**
-     * Where set, the sidecar is not ready until its warm-up is completed, and runs this with each request until then.
+     * Runs on the event loop for each request until the warm-up is completed; the sidecar is not ready until then. Null
+     * starts the sidecar without a warm-up.
      */
-    public Runnable warmUpInterrupt;
+    public Runnable onRequestDuringWarmUp;
 
     public final ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(new MonotonicClock());
 
-    public SidecarFixture(StubServer.Script discoveryScript) throws IOException {
-        discovery = new StubServer(discoveryScript);
+    public SidecarFixture(StubServer.RequestHandler discoveryHandler) throws IOException {
+        discovery = new StubServer(discoveryHandler);
     }
 
     /**
-     * Discovery where nothing changes: a watch is answered with an empty delta when its wait has passed, a request for
-     * the full list not at all.
+     * Creates a fixture whose discovery reports no changes: it answers a watch with an empty delta after the wait that
+     * the request states, and does not answer a request for the full list.
      */
     public SidecarFixture() throws IOException {
         this((request, connection) -> {
@@ -98,44 +107,44 @@
             int waitParameter = path.indexOf(WAIT_PARAMETER);
             if (waitParameter >= 0) {
                 StubServer.sleep(Long.parseLong(path.substring(waitParameter + WAIT_PARAMETER.length())));
-                connection.respond("200 OK", "", list(41, false));
+                connection.respond("200 OK", "", endpointListJson(41, false));
             }
         });
     }
 
-    /** Adds an endpoint to the list that the sidecar starts with. */
-    public StubServer upstream(StubServer.Script script) throws IOException {
-        StubServer server = new StubServer(script);
+    /** Starts an endpoint and adds it to the list that the sidecar starts with. */
+    public StubServer addEndpoint(StubServer.RequestHandler handler) throws IOException {
+        StubServer server = new StubServer(handler);
         endpointServers.add(server);
         return server;
     }
 
-    /** One entry of an endpoint list, in the form of discovery. */
-    public static String entry(String id, String address, String lifecycle, long startedAtMillis) {
+    /** Returns one entry of an endpoint list as JSON in the format of discovery. */
+    public static String endpointJson(String id, String address, String lifecycle, long startedAtMillis) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"za\",\"machineType\":\"k\","
                 + "\"cell\":1,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":" + startedAtMillis
                 + "}";
     }
 
-    /** An endpoint list in the form of discovery: a full one where {@code reset}, else a delta. */
-    public static String list(long generation, boolean reset, String... entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":[" + String.join(",", entries)
-                + "]}";
+    /** Returns an endpoint list, either a full snapshot or a delta, as JSON in the format of discovery. */
+    public static String endpointListJson(long generation, boolean fullSnapshot, String... entries) {
+        return "{\"generation\":" + generation + ",\"reset\":" + fullSnapshot + ",\"instances\":["
+                + String.join(",", entries) + "]}";
     }
 
-    private String initialEndpointList() {
+    private String initialEndpointListJson() {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < endpointServers.size(); i++) {
-            entries.add(entry("u" + i, endpointServers.get(i).address(), "Ready", 0));
+            entries.add(endpointJson("u" + i, endpointServers.get(i).address(), "Ready", 0));
         }
-        return list(41, true, entries.toArray(String[]::new));
+        return endpointListJson(41, true, entries.toArray(String[]::new));
     }
 
     private interface ConfigurationSource {
         SidecarConfiguration read(Map<String, String> environment) throws ConfigurationException;
     }
 
-    private static SidecarConfiguration read(String json, ConfigurationSource source)
+    private static SidecarConfiguration readFromFile(String json, ConfigurationSource source)
             throws IOException, ConfigurationException {
         Path file = Files.createTempFile("config", ".json");
         try {
@@ -146,33 +155,34 @@
         }
     }
 
-    public static SidecarConfiguration config(String json) throws IOException, ConfigurationException {
-        return read(json, SidecarConfigurationReader::read);
+    /** Writes the text to a configuration file and reads it in the same way as at the start of the sidecar. */
+    public static SidecarConfiguration parseConfiguration(String json) throws IOException, ConfigurationException {
+        return readFromFile(json, SidecarConfigurationReader::read);
     }
 
-    private String configuration(String discoveryAddress) {
+    private String configurationJson(String discoveryAddress) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discoveryAddress
-                + "\",\"seed\":\"8c1f30d27a5be964\"," + gossipFields + "\"known\":" + initialEndpointList()
-                + ",\"limits\":{\"sockets\":" + descriptorLimit + "},\"settings\":" + settings + "}";
+                + "\",\"seed\":\"8c1f30d27a5be964\"," + gossipFields + "\"known\":" + initialEndpointListJson()
+                + ",\"limits\":{\"sockets\":" + descriptorLimit + "},\"settings\":" + settingsJson + "}";
     }
 
-    /** Reloads the configuration, as on SIGHUP, with this discovery address and the current {@link #settings}. */
+    /** Reloads the configuration as on SIGHUP, with the given discovery address and {@link #settingsJson}. */
     public void reload(String discoveryAddress) throws Exception {
-        sidecar.applyConfiguration(read(
-                configuration(discoveryAddress),
+        sidecar.applyConfiguration(readFromFile(
+                configurationJson(discoveryAddress),
                 environment -> SidecarConfigurationReader.reload(environment, sidecar.settings())));
     }
 
     public SidecarFixture start() throws Exception {
-        SidecarConfiguration config = config(configuration(discovery.address()));
+        SidecarConfiguration config = parseConfiguration(configurationJson(discovery.address()));
         sidecar = new Sidecar(
                 config,
-                (configuration, now, actions) -> new RecordingLoadBalancer(this, actions),
+                (configuration, nowMicros, actions) -> new RecordingLoadBalancer(this, actions),
                 eventLoop,
                 watchTimeouts,
                 backoff);
-        if (warmUpInterrupt != null) {
-            sidecar.holdReadinessForWarmUp(warmUpInterrupt);
+        if (onRequestDuringWarmUp != null) {
+            sidecar.holdReadinessForWarmUp(onRequestDuringWarmUp);
         }
         sidecar.start();
         return this;
@@ -186,14 +196,17 @@
         return new StubServer.Client(address());
     }
 
-    /** An idempotent request of class {@code c}. */
-    public static String get(String id, long remainingMillis) {
+    /** Returns the bytes of an idempotent request (GET) of class {@code c} as text. */
+    public static String idempotentRequest(String id, long remainingMillis) {
         return "GET /api/slots?day=1 HTTP/1.1\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Lane: c\r\nX-Remaining-Ms: "
                 + remainingMillis + "\r\n\r\n";
     }
 
-    /** Removes events up to the first that begins with {@code prefix} and returns it; fails after 20 s. */
-    public String await(String prefix) throws InterruptedException {
+    /**
+     * Waits for the next event that begins with {@code prefix} and returns it. Removes it and all events before it.
+     * Fails if no event arrives for 20 s.
+     */
+    public String awaitEvent(String prefix) throws InterruptedException {
         for (String event; (event = events.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (event.startsWith(prefix)) {
                 return event;
@@ -202,7 +215,7 @@
         throw new AssertionError("no event begins with '" + prefix + "'");
     }
 
-    /** The remaining time that a {@code request} event names. */
+    /** Returns the remaining time in a {@code request} event. */
     public static long remainingMicros(String requestEvent) {
         return Long.parseLong(requestEvent.split(" ")[2]);
     }
--- a/src/test/java/loadbalancer/proxy/testing/StubServer.java
+++ b/src/test/java/loadbalancer/proxy/testing/StubServer.java
@@ -18,26 +18,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An HTTP server on an ephemeral loopback port that answers each request as its script says: an endpoint or discovery.
- * Each connection has a thread of its own, so a script may block. Closing it closes its connections.
+ * An HTTP server on an ephemeral loopback port that passes each request to its handler. It acts as an endpoint or as
+ * discovery. Each connection has a thread of its own, so a handler may block. Closing the server closes its
+ * connections.
  */
 public final class StubServer implements AutoCloseable {
-    /** Handles one request on the thread of its connection; where it writes nothing the sender is left waiting. */
-    public interface Script {
+    /** Handles one request on the thread of its connection. The client gets no response if the handler writes none. */
+    public interface RequestHandler {
         void handle(Message request, Connection connection) throws IOException;
     }
 
-    /** Answers every request with 200 and this body. */
-    public static Script respondingWith(String body) {
+    /** Returns a handler that answers each request with status 200 and the given body. */
+    public static RequestHandler respondingWith(String body) {
         return (request, connection) -> connection.respond("200 OK", "", body);
     }
 
-    /** Answers every request with 200 and the request's identifier as the body. */
-    public static Script echoingRequestId() {
+    /** Returns a handler that answers each request with status 200 and its request id as the body. */
+    public static RequestHandler echoingRequestId() {
         return (request, connection) -> connection.respond("200 OK", "", request.header("X-Txn"));
     }
 
-    /** Blocks the script of a connection for a time. */
+    /** Blocks a handler for the given time. */
     public static void sleep(long millis) throws InterruptedIOException {
         try {
             Thread.sleep(millis);
@@ -46,7 +47,7 @@
         }
     }
 
-    /** Blocks the script of a connection until the latch is released. */
+    /** Blocks a handler until the latch is released. */
     public static void awaitLatch(CountDownLatch latch) throws InterruptedIOException {
         try {
             latch.await();
@@ -55,13 +56,13 @@
         }
     }
 
-    /** A request or response as it was received. */
+    /** A received request or response; {@code head} contains the start line and the headers. */
     public record Message(String head, String body) {
         public String path() {
             return head.split(" ")[1];
         }
 
-        /** The value of the header, whose name is compared without case; null where there is no such header. */
+        /** Returns the value of the header, or null if there is none. The case of the name does not matter. */
         public String header(String name) {
             return head.lines()
                     .skip(1)
@@ -89,15 +90,19 @@
         }
     }
 
-    public final BlockingQueue<Message> messages = new LinkedBlockingQueue<>();
-    public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
+    /** The requests received so far; {@link #nextRequest} removes the first of them. */
+    public final BlockingQueue<Message> receivedRequests = new LinkedBlockingQueue<>();
+    /** The sockets of the connections accepted so far. */
+    public final BlockingQueue<Socket> acceptedSockets = new LinkedBlockingQueue<>();
+
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final ServerSocket server;
     private final Thread acceptor;
-    public volatile Script script;
+    /** Handles each request; a test may replace it while the server runs. */
+    public volatile RequestHandler handler;
 
-    public StubServer(Script script) throws IOException {
-        this.script = script;
+    public StubServer(RequestHandler handler) throws IOException {
+        this.handler = handler;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         acceptor = startDaemon(this::accept);
     }
@@ -113,9 +118,9 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** The next request; fails after 20 s. */
-    public Message next() throws InterruptedException {
-        Message request = messages.poll(20, TimeUnit.SECONDS);
+    /** Removes and returns the next received request; fails after 20 s. */
+    public Message nextRequest() throws InterruptedException {
+        Message request = receivedRequests.poll(20, TimeUnit.SECONDS);
         if (request == null) {
             throw new AssertionError("no request was received");
         }
@@ -127,7 +132,7 @@
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                accepted.add(socket);
+                acceptedSockets.add(socket);
                 startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
@@ -137,17 +142,17 @@
 
     private void serve(Socket socket) {
         try {
-            for (Message request; (request = read(socket.getInputStream())) != null; ) {
-                messages.add(request);
-                script.handle(request, new Connection(socket));
+            for (Message request; (request = readMessage(socket.getInputStream())) != null; ) {
+                receivedRequests.add(request);
+                handler.handle(request, new Connection(socket));
             }
         } catch (IOException e) {
             // The connection is closed.
         }
     }
 
-    /** One HTTP message with a body of its stated length; null where the stream ends before one. */
-    static Message read(InputStream in) throws IOException {
+    /** Reads one HTTP message, whose body has the length stated in its head; null if the stream ends in the head. */
+    static Message readMessage(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int character = in.read();
@@ -157,15 +162,16 @@
             head.append((char) character);
         }
         Message message = new Message(head.toString(), "");
-        String length = message.header("Content-Length");
-        byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
+        String contentLength = message.header("Content-Length");
+        byte[] body = in.readNBytes(contentLength == null ? 0 : Integer.parseInt(contentLength));
         return new Message(message.head, new String(body, StandardCharsets.ISO_8859_1));
     }
 
     /**
-     * Once it returns, the port refuses connections and every connection that was accepted is closed. Closing the
-     * listener is not enough for that: the accepting thread may still be inside the kernel's accept() and take one more
-     * connection, which would be served and never closed. So this waits for that thread to end; it fails after 20 s.
+     * Closes the listener and all accepted connections. After the return, the port refuses connections. Closing the
+     * listener alone is not enough: the accepting thread may still be inside the kernel's accept() and accept one more
+     * connection, which would be served and never closed. Therefore this method waits for the thread to end, and fails
+     * after 20 s.
      */
     @Override
     public void close() throws IOException {
@@ -184,7 +190,7 @@
         }
     }
 
-    /** A client's connection to a sidecar. */
+    /** A client's connection to a sidecar. Each read fails after 20 s. */
     public static final class Client implements AutoCloseable {
         public final Socket socket;
 
@@ -200,23 +206,23 @@
             return this;
         }
 
-        /** The next response; null where the connection is closed without one. */
+        /** Reads the next response; null if the connection is closed before it. */
         public Message readResponse() throws IOException {
-            return read(socket.getInputStream());
+            return readMessage(socket.getInputStream());
         }
 
-        /** Waits until the sidecar has closed the connection; false where it sends something first. */
+        /** Waits until the sidecar closes the connection; returns false if the sidecar sends data instead. */
         public boolean isClosedBySidecar() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
             } catch (SocketException e) {
-                // Reset, as it was closed with unread bytes of this client.
+                // The connection was reset, because the sidecar closed it with unread bytes of this client.
                 return true;
             }
         }
 
-        /** The status of the next response; -1 where the connection is closed without one. */
-        public int status() throws IOException {
+        /** Reads the next response and returns its status; -1 if the connection is closed before the response. */
+        public int readStatus() throws IOException {
             Message response = readResponse();
             return response == null ? -1 : Integer.parseInt(response.head.split(" ")[1]);
         }
--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -17,19 +17,19 @@
 /** Tests which outcome the decision module is notified of for each behavior of an endpoint. */
 @Timeout(60)
 class AttemptOutcomeTest {
-    /** Starts a sidecar with one endpoint, {@code u0}, which handles requests by {@code script}. */
-    private static SidecarFixture startFixture(StubServer.Script script) throws Exception {
+    /** Starts a sidecar with one endpoint, {@code u0}, whose requests go to {@code handler}. */
+    private static SidecarFixture startFixture(StubServer.RequestHandler handler) throws Exception {
         SidecarFixture fixture = new SidecarFixture();
-        fixture.upstream(script);
+        fixture.addEndpoint(handler);
         return fixture.start();
     }
 
-    private static void assertOutcome(String expected, int status, StubServer.Script script) throws Exception {
-        try (SidecarFixture fixture = startFixture(script);
+    private static void assertOutcome(String expected, int status, StubServer.RequestHandler handler) throws Exception {
+        try (SidecarFixture fixture = startFixture(handler);
                 StubServer.Client client = fixture.client()) {
-            client.send(SidecarFixture.get("a1", 20_000));
-            assertEquals("outcome a1 0 " + expected, fixture.await("outcome"));
-            assertEquals(status, client.status());
+            client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+            assertEquals("outcome a1 0 " + expected, fixture.awaitEvent("outcome"));
+            assertEquals(status, client.readStatus());
         }
     }
 
@@ -142,10 +142,10 @@
                     StubServer.Client client = fixture.client()) {
                 StubServer server = fixture.endpointServers.get(0);
                 for (String id : new String[] {"a1", "a2", "a3"}) {
-                    client.send(SidecarFixture.get(id, 20_000));
+                    client.send(SidecarFixture.idempotentRequest(id, 20_000));
                     assertEquals(id, client.readResponse().body());
                 }
-                assertEquals(3, server.accepted.size(), "a connection with unread bytes was reused");
+                assertEquals(3, server.acceptedSockets.size(), "a connection with unread bytes was reused");
             }
         }
     }
@@ -184,8 +184,8 @@
         try (SidecarFixture fixture = startFixture((request, connection) -> {});
                 StubServer.Client client = fixture.client()) {
             fixture.endpointServers.get(0).close();
-            client.send(SidecarFixture.get("a1", 20_000));
-            assertEquals("outcome a1 0 CONNECT_FAILED false -", fixture.await("outcome"));
+            client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+            assertEquals("outcome a1 0 CONNECT_FAILED false -", fixture.awaitEvent("outcome"));
         }
     }
 
@@ -195,16 +195,17 @@
         try (SidecarFixture fixture = startFixture((request, connection) -> {});
                 StubServer.Client client = fixture.client()) {
             StubServer server = fixture.endpointServers.get(0);
-            fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 100_000);
-            client.send(SidecarFixture.get("a1", 20_000));
-            assertEquals("outcome a1 0 TIMEOUT false -", fixture.await("outcome"));
-            assertEquals(-1, server.accepted.take().getInputStream().read(), "the connection was left open");
-            assertEquals(502, client.status());
-            server.script = (request, connection) -> connection.respond("200 OK", "", "fresh");
-            fixture.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
-            client.send(SidecarFixture.get("a2", 20_000));
+            fixture.onRequest =
+                    (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", nowMicros + 100_000);
+            client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+            assertEquals("outcome a1 0 TIMEOUT false -", fixture.awaitEvent("outcome"));
+            assertEquals(-1, server.acceptedSockets.take().getInputStream().read(), "the connection was left open");
+            assertEquals(502, client.readStatus());
+            server.handler = (request, connection) -> connection.respond("200 OK", "", "fresh");
+            fixture.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+            client.send(SidecarFixture.idempotentRequest("a2", 20_000));
             assertEquals("fresh", client.readResponse().body());
-            assertNotNull(server.accepted.poll(20, TimeUnit.SECONDS));
+            assertNotNull(server.acceptedSockets.poll(20, TimeUnit.SECONDS));
         }
     }
 
@@ -212,12 +213,12 @@
     void reportsCancelledAttempt() throws Exception {
         try (SidecarFixture fixture = startFixture((request, connection) -> {});
                 StubServer.Client client = fixture.client()) {
-            fixture.onRequest = (now, request, out) -> {
-                out.sendAttempt(request.id(), "u0", 0);
-                out.cancelAttempt(request.id(), 0);
+            fixture.onRequest = (nowMicros, request, actions) -> {
+                actions.sendAttempt(request.id(), "u0", 0);
+                actions.cancelAttempt(request.id(), 0);
             };
-            client.send(SidecarFixture.get("a1", 20_000));
-            assertEquals("outcome a1 0 CANCELLED false -", fixture.await("outcome"));
+            client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+            assertEquals("outcome a1 0 CANCELLED false -", fixture.awaitEvent("outcome"));
         }
     }
 
@@ -241,13 +242,13 @@
             String outcome;
             // The endpoint resets the first connection that is reused.
             do {
-                client.send(SidecarFixture.get("a" + ++calls, 20_000));
-                outcome = fixture.await("outcome a" + calls);
-                assertEquals(outcome.contains(" OK ") ? 200 : 502, client.status());
+                client.send(SidecarFixture.idempotentRequest("a" + ++calls, 20_000));
+                outcome = fixture.awaitEvent("outcome a" + calls);
+                assertEquals(outcome.contains(" OK ") ? 200 : 502, client.readStatus());
             } while (outcome.contains(" OK "));
             assertEquals("outcome a" + calls + " 0 RESET false -", outcome);
-            assertEquals(calls, server.messages.size());
-            assertEquals(calls - 1, server.accepted.size(), "the last call did not use an idle connection");
+            assertEquals(calls, server.receivedRequests.size());
+            assertEquals(calls - 1, server.acceptedSockets.size(), "the last call did not use an idle connection");
         }
     }
 
@@ -259,10 +260,10 @@
                 StubServer.Client client = fixture.client()) {
             StubServer server = fixture.endpointServers.get(0);
             for (String id : new String[] {"a1", "a2"}) {
-                client.send(SidecarFixture.get(id, 20_000));
-                assertEquals(200, client.status());
+                client.send(SidecarFixture.idempotentRequest(id, 20_000));
+                assertEquals(200, client.readStatus());
             }
-            assertEquals(2, server.accepted.size());
+            assertEquals(2, server.acceptedSockets.size());
         }
     }
 
@@ -275,7 +276,7 @@
         try (SidecarFixture fixture =
                         startFixture((request, connection) -> connection.respond("200 OK", "", "z".repeat(400_000)));
                 StubServer.Client client = fixture.client()) {
-            client.send(SidecarFixture.get("a1", 20_000));
+            client.send(SidecarFixture.idempotentRequest("a1", 20_000));
             assertEquals(400_000, client.readResponse().body().length());
         }
     }
@@ -290,7 +291,7 @@
                     + "Idempotency-Key: k9\r\nContent-Length: 5\r\n\r\nh\u00e9llo");
             StubServer.Message response = client.readResponse();
             assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), response.body());
-            StubServer.Message sent = server.next();
+            StubServer.Message sent = server.nextRequest();
             assertTrue(sent.head().startsWith("POST /api/x?y=%20z HTTP/1.1\r\n"), sent.head());
             assertEquals("q7", sent.header("X-Txn"));
             assertEquals("k9", sent.header("Idempotency-Key"));
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -34,8 +34,8 @@
     private static final long STALL_TIMEOUT_MICROS = 20_000;
     private static final long NO_REUSE_DELAY = 0;
 
-    private static final StubServer.Script SILENT = (request, connection) -> {};
-    private static final StubServer.Script RESPONDING =
+    private static final StubServer.RequestHandler SILENT = (request, connection) -> {};
+    private static final StubServer.RequestHandler RESPONDING =
             (request, connection) -> connection.respond("200 OK", "", "body");
 
     private final MonotonicClock clock = new MonotonicClock();
@@ -64,7 +64,8 @@
     }
 
     private static EndpointList list(boolean fullSnapshot, String... entries) {
-        return EndpointList.parse(SidecarFixture.list(1, fullSnapshot, entries).getBytes(StandardCharsets.UTF_8));
+        return EndpointList.parse(
+                SidecarFixture.endpointListJson(1, fullSnapshot, entries).getBytes(StandardCharsets.UTF_8));
     }
 
     private UpstreamCall newCall(String endpoint) {
@@ -76,7 +77,7 @@
     }
 
     private static String ready(String id, StubServer server) {
-        return SidecarFixture.entry(id, server.address(), "Ready", 0);
+        return SidecarFixture.endpointJson(id, server.address(), "Ready", 0);
     }
 
     private void update(UpstreamConnectionPool pool, EndpointList list) {
@@ -108,9 +109,9 @@
             UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100);
             EndpointList ready = list(true, ready("u", server));
             for (EndpointList change : new EndpointList[] {
-                list(false, SidecarFixture.entry("u", server.address(), "Terminating", 0)),
-                list(false, SidecarFixture.entry("u", server.address(), "Gone", 0)),
-                list(false, SidecarFixture.entry("u", server.address(), "Ready", 5_000_000)),
+                list(false, SidecarFixture.endpointJson("u", server.address(), "Terminating", 0)),
+                list(false, SidecarFixture.endpointJson("u", server.address(), "Gone", 0)),
+                list(false, SidecarFixture.endpointJson("u", server.address(), "Ready", 5_000_000)),
                 list(false, ready("u", otherServer)),
                 list(true, ready("other", otherServer))
             }) {
@@ -121,7 +122,8 @@
                 });
                 assertEquals("u NOT_SENT", nextOutcome());
             }
-            assertTrue(server.messages.isEmpty() && otherServer.messages.isEmpty(), "a request was sent");
+            assertTrue(
+                    server.receivedRequests.isEmpty() && otherServer.receivedRequests.isEmpty(), "a request was sent");
         }
     }
 
@@ -137,7 +139,7 @@
                 });
                 assertEquals("u OK", nextOutcome());
             }
-            assertEquals(1, server.accepted.size());
+            assertEquals(1, server.acceptedSockets.size());
         }
     }
 
@@ -150,8 +152,8 @@
             for (int i = 0; i < 2; i++) {
                 assertEquals("u OK", outcomeOfCall(pool, "u"));
             }
-            assertEquals(-1, server.accepted.take().getInputStream().read());
-            assertEquals(1, server.accepted.size(), "the second call did not open a new connection");
+            assertEquals(-1, server.acceptedSockets.take().getInputStream().read());
+            assertEquals(1, server.acceptedSockets.size(), "the second call did not open a new connection");
         }
     }
 
@@ -164,8 +166,8 @@
             update(pool, list(true, ready("idle", idle), ready("silent", silent)));
             assertEquals("idle OK", outcomeOfCall(pool, "idle"));
             start(pool, "silent");
-            silent.next();
-            assertEquals(-1, idle.accepted.take().getInputStream().read());
+            silent.nextRequest();
+            assertEquals(-1, idle.acceptedSockets.take().getInputStream().read());
             assertEquals("idle NOT_SENT", outcomeOfCall(pool, "idle"));
         }
     }
@@ -179,9 +181,9 @@
             update(pool, list(true, ready("idle", idle), ready("silent", silent)));
             assertEquals("idle OK", outcomeOfCall(pool, "idle"));
             start(pool, "silent");
-            silent.next();
+            silent.nextRequest();
             assertTrue(loop.submit(pool::closeOldestIdleConnection).get());
-            assertEquals(-1, idle.accepted.take().getInputStream().read());
+            assertEquals(-1, idle.acceptedSockets.take().getInputStream().read());
             assertEquals(1, loop.submit(pool::openConnections).get());
             assertFalse(loop.submit(pool::closeOldestIdleConnection).get());
         }
@@ -200,7 +202,7 @@
                 assertEquals("gone CONNECT_FAILED", outcomeOfCall(pool, "gone"));
             }
             assertEquals("u OK", outcomeOfCall(pool, "u"));
-            server.accepted.take().getInputStream().read();
+            server.acceptedSockets.take().getInputStream().read();
         }
     }
 
@@ -210,8 +212,10 @@
         UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100);
         int endpoints = loop.submit(() -> {
                     for (int i = 0; i < 50; i++) {
-                        pool.updateEndpoints(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Ready", 0)));
-                        pool.updateEndpoints(list(false, SidecarFixture.entry("u" + i, "127.0.0.1:9", "Gone", 0)));
+                        pool.updateEndpoints(
+                                list(false, SidecarFixture.endpointJson("u" + i, "127.0.0.1:9", "Ready", 0)));
+                        pool.updateEndpoints(
+                                list(false, SidecarFixture.endpointJson("u" + i, "127.0.0.1:9", "Gone", 0)));
                     }
                     return pool.endpointCount();
                 })
@@ -234,7 +238,7 @@
                     Thread.onSpinWait();
                 }
             }
-            assertEquals(5, server.accepted.size());
+            assertEquals(5, server.acceptedSockets.size());
         }
     }
 
@@ -262,13 +266,13 @@
         }
     }
 
-    /** Otherwise most requests would need a new connection and its handshake. */
+    /** Without reuse, most requests would need a new connection and its handshake. */
     @Test
     void reusesConnectionAfterReuseDelay() throws Exception {
         try (StubServer server = new StubServer(RESPONDING)) {
             UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100, 1_000);
             update(pool, list(true, ready("u", server)));
-            for (int calls = 0; server.accepted.size() == calls; calls++) {
+            for (int calls = 0; server.acceptedSockets.size() == calls; calls++) {
                 assertEquals("u OK", outcomeOfCall(pool, "u"));
             }
         }
