--- a/src/test/java/loadbalancer/decision/AdmissionControlTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionControlTest.java
@@ -36,7 +36,7 @@
 
     /** A sidecar's own requests do not show a queue that other sidecars have filled; gossip shows it. */
     @Test
-    void shedsLoadThatTheFleetCannotServeInTime() {
+    void shedsLoadThatFleetCannotServeInTime() {
         PolicyFixture fixture = PolicyFixture.oneOfFourteenSidecars();
         assertEquals(0, rejectedOfFortyRequests(fixture), "rejections before the first gossip");
         fixture.receiveGossipFromThirteenSidecars(10, 0.1);
@@ -60,7 +60,7 @@
         assertEquals(0, rejectedOfFortyRequests(fixture));
     }
 
-    /** Returns how many of 40 requests, 100 ms apart, are rejected. Each forwarded one is answered after 20 ms. */
+    /** Returns how many of 40 requests, 100 ms apart, are rejected. Each forwarded request is answered after 20 ms. */
     private static int rejectedOfFortyRequests(PolicyFixture fixture) {
         fixture.clearActions();
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -93,7 +93,7 @@
                 sentToA >= 4 && sentToA <= 5, sentToA + " attempts were sent to a, of a total of " + selected.size());
     }
 
-    /** An endpoint that drains before the endpoint list says so rejects requests although it has little load. */
+    /** An endpoint that drains but is not yet listed as draining rejects requests although it has little load. */
     @Test
     void ejectsIdleEndpointAfterRejection() {
         assertEjectedAfter(AttemptOutcome.REJECTED, 30_000);
--- a/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Many sidecars have unequal traffic, and half of the endpoints are in slow start, as after a release. These must
-     * receive their fraction of the traffic, or the other endpoints are overloaded.
+     * Many sidecars have unequal traffic, and half of the endpoints are in slow start, as after a release. The
+     * endpoints in slow start must receive their fraction of the traffic, or the other endpoints are overloaded.
      */
     @Test
     void usesSlowStartCapacityWithinBudgetInLargeFleet() {
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -30,7 +30,7 @@
 
     private final Semaphore blocked = new Semaphore(0);
     private final Semaphore unblock = new Semaphore(0);
-    private SidecarFixture sidecar;
+    private SidecarFixture fixture;
 
     private enum Disconnection {
         CLOSE,
@@ -42,10 +42,10 @@
     }
 
     @BeforeEach
-    void createSidecar() throws Exception {
-        sidecar = new SidecarFixture();
-        sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
-        sidecar.onRequest = (nowMicros, request, actions) -> {
+    void createFixture() throws Exception {
+        fixture = new SidecarFixture();
+        fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
+        fixture.onRequest = (nowMicros, request, actions) -> {
             if (request.id().startsWith("block")) {
                 blocked.release();
                 unblock.acquireUninterruptibly();
@@ -57,8 +57,8 @@
     }
 
     @AfterEach
-    void closeSidecar() throws Exception {
-        sidecar.close();
+    void closeFixture() throws Exception {
+        fixture.close();
     }
 
     private void blockLoop(StubServer.Client blocker, int round) throws Exception {
@@ -92,21 +92,21 @@
      * because the endpoint responds to it.
      */
     private void assertNeverSent(String id) throws Exception {
-        assertEquals("outcome " + id + " 0 NOT_SENT true -", sidecar.awaitEvent("outcome " + id + " 0"));
+        assertEquals("outcome " + id + " 0 NOT_SENT true -", fixture.awaitEvent("outcome " + id + " 0"));
     }
 
     @Test
     void sendsNoAttemptForRequestReadTogetherWithDisconnection() throws Exception {
-        sidecar.start();
-        try (StubServer.Client blocker = sidecar.client()) {
+        fixture.start();
+        try (StubServer.Client blocker = fixture.client()) {
             for (int round = 0; round < ROUNDS; round++) {
-                StubServer.Client accepted = sidecar.client();
+                StubServer.Client accepted = fixture.client();
                 assertStatus(200, accepted, SidecarFixture.idempotentRequest("first" + round, 20_000));
                 blockLoop(blocker, round);
                 accepted.send(SidecarFixture.idempotentRequest("gone" + round, 20_000));
                 disconnect(accepted, Disconnection.CLOSE);
                 // This connection waits in the listener's backlog, together with its request and its end.
-                StubServer.Client unaccepted = sidecar.client();
+                StubServer.Client unaccepted = fixture.client();
                 unaccepted.send(SidecarFixture.idempotentRequest("new" + round, 20_000));
                 disconnect(unaccepted, Disconnection.CLOSE);
                 unblockLoop(blocker);
@@ -121,14 +121,14 @@
      */
     private void routeToFullEndpoint(ServerSocket endpoint) {
         String address = "127.0.0.1:" + endpoint.getLocalPort();
-        sidecar.discovery.handler = (request, connection) -> {
+        fixture.discovery.handler = (request, connection) -> {
             if (request.path().contains("index=41&")) {
                 String entry = SidecarFixture.endpointJson("full", address, "Ready", 0);
                 connection.respond("200 OK", "", SidecarFixture.endpointListJson(42, false, entry));
             }
         };
-        SidecarFixture.RequestCallback defaultCallback = sidecar.onRequest;
-        sidecar.onRequest = (nowMicros, request, actions) -> {
+        SidecarFixture.RequestCallback defaultCallback = fixture.onRequest;
+        fixture.onRequest = (nowMicros, request, actions) -> {
             if (request.id().startsWith("gone")) {
                 actions.sendAttempt(request.id(), "full", 0);
             } else {
@@ -145,16 +145,16 @@
     void sendsNoAttemptOnConnectionEstablishedDuringDisconnection() throws Exception {
         try (ServerSocket endpoint = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             routeToFullEndpoint(endpoint);
-            sidecar.start();
-            sidecar.awaitEvent("list DELTA full=READY");
-            try (StubServer.Client blocker = sidecar.client()) {
+            fixture.start();
+            fixture.awaitEvent("list DELTA full=READY");
+            try (StubServer.Client blocker = fixture.client()) {
                 for (int round = 0; round < 3; round++) {
                     List<Socket> fillers = List.of(
                             new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()),
                             new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
-                    StubServer.Client client = sidecar.client();
+                    StubServer.Client client = fixture.client();
                     client.send(SidecarFixture.idempotentRequest("gone" + round, 20_000));
-                    sidecar.awaitEvent("request gone" + round);
+                    fixture.awaitEvent("request gone" + round);
                     // This request is read in a later iteration, when the attempt's connection is already being opened.
                     assertStatus(404, blocker, "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
                     blockLoop(blocker, round);
@@ -179,7 +179,7 @@
     private void awaitRequestAtFirstEndpoint(String id) throws InterruptedException {
         StubServer.Message request;
         do {
-            request = sidecar.endpointServers.get(0).nextRequest();
+            request = fixture.endpointServers.get(0).nextRequest();
         } while (!request.header("X-Txn").equals(id));
     }
 
@@ -189,8 +189,8 @@
      * fires once that connection may be reused, and fails the request.
      */
     private void routeWarmUpToSecondEndpoint() {
-        SidecarFixture.RequestCallback defaultCallback = sidecar.onRequest;
-        sidecar.onRequest = (nowMicros, request, actions) -> {
+        SidecarFixture.RequestCallback defaultCallback = fixture.onRequest;
+        fixture.onRequest = (nowMicros, request, actions) -> {
             if (request.id().startsWith("warm")) {
                 actions.sendAttempt(request.id(), "u1", 0);
             } else if (request.id().startsWith("rest")) {
@@ -206,7 +206,7 @@
     void sendsNoRetryAfterFailureReadTogetherWithDisconnection() throws Exception {
         Semaphore fail = new Semaphore(0);
         Semaphore failed = new Semaphore(0);
-        sidecar.endpointServers.get(0).handler = (request, connection) -> {
+        fixture.endpointServers.get(0).handler = (request, connection) -> {
             if (request.header("X-Txn").startsWith("gone")) {
                 fail.acquireUninterruptibly();
                 connection.respond("500 No", "", "");
@@ -215,21 +215,21 @@
                 connection.respond("200 OK", "", "");
             }
         };
-        StubServer secondEndpoint = sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", ""));
+        StubServer secondEndpoint = fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", ""));
         routeWarmUpToSecondEndpoint();
-        sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {
+        fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
             if (!requestDone) {
                 actions.sendAttempt(requestId, "u1", 0);
             }
         };
-        sidecar.start();
-        try (StubServer.Client blocker = sidecar.client()) {
+        fixture.start();
+        try (StubServer.Client blocker = fixture.client()) {
             for (int round = 0; round < ROUNDS; round++) {
                 // Leaves an idle connection to the second endpoint, on which a retry could be written at once.
                 assertStatus(200, blocker, SidecarFixture.idempotentRequest("warm" + round, 20_000));
                 assertStatus(502, blocker, SidecarFixture.idempotentRequest("rest" + round, 20_000));
-                sidecar.awaitEvent("timer rested");
-                StubServer.Client client = sidecar.client();
+                fixture.awaitEvent("timer rested");
+                StubServer.Client client = fixture.client();
                 client.send(SidecarFixture.idempotentRequest("gone" + round, 20_000));
                 awaitRequestAtFirstEndpoint("gone" + round);
                 blockLoop(blocker, round);
@@ -237,7 +237,7 @@
                 failed.acquire();
                 disconnect(client, Disconnection.ofRound(round));
                 unblockLoop(blocker);
-                sidecar.awaitEvent("expired gone" + round);
+                fixture.awaitEvent("expired gone" + round);
             }
         }
         for (StubServer.Message request : secondEndpoint.receivedRequests) {
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -59,12 +59,12 @@
                         + "Idempotency-Key: k1\r\nContent-Length: 65536\r\n\r\n"
                         + "x".repeat(65_536),
                 200);
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
-            sidecar.awaitEvent("list DELTA");
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
+            fixture.awaitEvent("list DELTA");
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
-                try (StubServer.Client client = sidecar.client()) {
+                try (StubServer.Client client = fixture.client()) {
                     client.send(entry.getKey());
                     assertEquals(
                             entry.getValue(),
@@ -95,11 +95,11 @@
         cases.put(head + "Content-Length: 60000000\r\n\r\n" + smuggled, 413);
         cases.put(head + chunked + "\r\nzz\r\n" + smuggled, 400);
         cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + smuggled, 400);
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer endpoint = fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
-                try (StubServer.Client client = sidecar.client()) {
+                try (StubServer.Client client = fixture.client()) {
                     client.send(entry.getKey());
                     assertEquals(entry.getValue(), client.readStatus(), entry.getKey());
                     assertTrue(client.isClosedBySidecar(), entry.getKey());
@@ -113,16 +113,16 @@
     @Test
     void writesErrorResponseAfterPendingResponse() throws Exception {
         ResponseGate gate = new ResponseGate();
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {
                 gate.await();
                 connection.respond("200 OK", "", "first");
             });
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.idempotentRequest("a1", 20_000)
                         + "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n");
-                sidecar.awaitEvent("request a1");
+                fixture.awaitEvent("request a1");
                 gate.open();
                 assertEquals("first", client.readResponse().body());
                 assertEquals(413, client.readStatus());
@@ -137,13 +137,13 @@
      */
     @Test
     void closesConnectionsOfSilentClientsAndIncompleteRequests() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
-            try (StubServer.Client silent = sidecar.client();
-                    StubServer.Client partialHead = sidecar.client();
-                    StubServer.Client partialBody = sidecar.client();
-                    StubServer.Client afterOneRequest = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
+            try (StubServer.Client silent = fixture.client();
+                    StubServer.Client partialHead = fixture.client();
+                    StubServer.Client partialBody = fixture.client();
+                    StubServer.Client afterOneRequest = fixture.client()) {
                 partialHead.send("GET /api HTTP/1.1\r\nX-T");
                 partialBody.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
                 assertStatus(200, afterOneRequest, SidecarFixture.idempotentRequest("a1", 20_000));
@@ -161,12 +161,12 @@
     /** Without this limit, a client could make the sidecar hold a request and its resources for days. */
     @Test
     void limitsRemainingTimeOfRequestToDeadlineOfItsClass() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 assertStatus(200, client, SidecarFixture.idempotentRequest("a1", 999_999_999));
-                assertTrue(Long.parseLong(sidecar.awaitEvent("request").split(" ")[2]) <= 60_000_000);
+                assertTrue(Long.parseLong(fixture.awaitEvent("request").split(" ")[2]) <= 60_000_000);
             }
         }
     }
@@ -174,13 +174,13 @@
     /** If two open requests had the same id, one response could go to two clients. */
     @Test
     void rejectsIdOfOpenRequest() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> {});
-            sidecar.start();
-            try (StubServer.Client first = sidecar.client();
-                    StubServer.Client other = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.start();
+            try (StubServer.Client first = fixture.client();
+                    StubServer.Client other = fixture.client()) {
                 first.send(SidecarFixture.idempotentRequest("a1", 20_000));
-                sidecar.awaitEvent("request a1");
+                fixture.awaitEvent("request a1");
                 assertStatus(400, other, SidecarFixture.idempotentRequest("a1", 20_000));
             }
         }
@@ -189,9 +189,9 @@
     /** Without an endpoint the application's requests would fail at once. */
     @Test
     void reportsNotReadyWithoutEndpoint() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.readStatus());
             }
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -23,14 +23,14 @@
 
     @Test
     void writesRejectionAtOnceWithRetryAfter() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (nowMicros, request, actions) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (nowMicros, request, actions) -> {
                 actions.reject(request.id(), 165_000);
                 actions.fail(request.id());
                 actions.reject(request.id(), 0);
             };
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.idempotentRequest("a1", 20_000));
                 StubServer.Message response = client.readResponse();
                 assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
@@ -44,26 +44,26 @@
     /** The client gets a response before it stops waiting even if the load balancer makes no decision. */
     @Test
     void failsRequestWithoutDecisionBeforeClientStopsWaiting() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (nowMicros, request, actions) -> {};
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (nowMicros, request, actions) -> {};
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 300));
-                assertEquals("expired a1", sidecar.awaitEvent("expired"));
+                assertEquals("expired a1", fixture.awaitEvent("expired"));
             }
         }
     }
 
     @Test
     void timesOutAttemptAtDeadlineAndLetsLoadBalancerRespond() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> {});
-            sidecar.onRequest =
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.onRequest =
                     (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", nowMicros + 60_000_000);
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 300));
-                assertEquals("outcome a1 0 TIMEOUT false -", sidecar.awaitEvent("outcome"));
+                assertEquals("outcome a1 0 TIMEOUT false -", fixture.awaitEvent("outcome"));
             }
         }
     }
@@ -71,20 +71,20 @@
     /** If the load balancer throws an exception, only the request that it was handling fails. */
     @Test
     void failsOnlyRequestForWhichLoadBalancerThrows() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
-            sidecar.onRequest = (nowMicros, request, actions) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
+            fixture.onRequest = (nowMicros, request, actions) -> {
                 throw new IllegalStateException("thrown by the test");
             };
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 20_000));
-                sidecar.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
-                sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {
+                fixture.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+                fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
                     throw new IllegalStateException("thrown by the test");
                 };
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a2", 20_000));
-                sidecar.onRequest = (nowMicros, request, actions) -> actions.startTimer("break", 1);
+                fixture.onRequest = (nowMicros, request, actions) -> actions.startTimer("break", 1);
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a3", 20_000));
             }
         }
@@ -92,16 +92,16 @@
 
     @Test
     void endsOnlyRequestOfDisconnectedClient() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> {});
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.idempotentRequest("a1", 20_000));
-                sidecar.awaitEvent("request");
+                fixture.awaitEvent("request");
             }
-            assertEquals("expired a1", sidecar.awaitEvent("expired"));
-            sidecar.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
-            try (StubServer.Client client = sidecar.client()) {
+            assertEquals("expired a1", fixture.awaitEvent("expired"));
+            fixture.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
+            try (StubServer.Client client = fixture.client()) {
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a2", 20_000));
             }
         }
@@ -110,14 +110,14 @@
     /** A half-closed connection counts as closed, because the sidecar cannot distinguish the two in time. */
     @Test
     void treatsHalfClosedConnectionAsDisconnected() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> {});
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.idempotentRequest("a1", 20_000));
-                sidecar.awaitEvent("request");
+                fixture.awaitEvent("request");
                 client.socket.shutdownOutput();
-                assertEquals("expired a1", sidecar.awaitEvent("expired"));
+                assertEquals("expired a1", fixture.awaitEvent("expired"));
                 assertTrue(client.isClosedBySidecar());
             }
         }
@@ -126,27 +126,27 @@
     /** A response that arrives after the final response, as with a hedged request, must not reach the client. */
     @Test
     void writesFirstResponseAndOnlyReportsLaterOne() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
             BlockingQueue<StubServer.Connection> unanswered = new LinkedBlockingQueue<>();
-            sidecar.addEndpoint((request, connection) -> unanswered.add(connection));
-            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", "second"));
-            sidecar.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
-            sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {};
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.addEndpoint((request, connection) -> unanswered.add(connection));
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "second"));
+            fixture.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+            fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {};
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.idempotentRequest("a1", 20_000));
-                sidecar.endpointServers.get(0).nextRequest();
-                sidecar.onRequest = (nowMicros, request, actions) -> {
+                fixture.endpointServers.get(0).nextRequest();
+                fixture.onRequest = (nowMicros, request, actions) -> {
                     actions.sendAttempt("a1", "u1", 0);
                     actions.fail(request.id());
                 };
-                try (StubServer.Client other = sidecar.client()) {
+                try (StubServer.Client other = fixture.client()) {
                     assertStatus(502, other, SidecarFixture.idempotentRequest("a2", 20_000));
                 }
                 assertEquals("second", client.readResponse().body());
-                assertEquals("outcome a1 1 OK true -", sidecar.awaitEvent("outcome"));
+                assertEquals("outcome a1 1 OK true -", fixture.awaitEvent("outcome"));
                 unanswered.take().respond("200 OK", "", "first");
-                assertEquals("outcome a1 0 OK true -", sidecar.awaitEvent("outcome"));
+                assertEquals("outcome a1 0 OK true -", fixture.awaitEvent("outcome"));
                 assertStatus(404, client, UNKNOWN_PATH);
             }
         }
@@ -154,17 +154,17 @@
 
     @Test
     void sendsNoAttemptBeyondMaximum() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
-            sidecar.onOutcome = (requestId, outcome, requestDone, actions) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer endpoint = fixture.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
+            fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
                 if (outcome == AttemptOutcome.NOT_SENT) {
                     actions.fail(requestId);
                 } else {
                     actions.sendAttempt(requestId, "u0", 0);
                 }
             };
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 20_000));
                 assertEquals(4, endpoint.receivedRequests.size());
             }
@@ -173,10 +173,10 @@
 
     @Test
     void respondsToPipelinedRequestsInOrder() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(pipelined(40));
                 for (int i = 0; i < 40; i++) {
                     assertEquals("p" + i, client.readResponse().body());
@@ -200,18 +200,18 @@
     @Test
     void noticesDisconnectionBehindPipelinedRequests() throws Exception {
         for (int count : new int[] {2, 20, 2_000}) {
-            try (SidecarFixture sidecar = new SidecarFixture()) {
-                sidecar.addEndpoint((request, connection) -> {});
-                sidecar.start();
-                sidecar.awaitEvent("list DELTA");
-                try (StubServer.Client client = sidecar.client()) {
+            try (SidecarFixture fixture = new SidecarFixture()) {
+                fixture.addEndpoint((request, connection) -> {});
+                fixture.start();
+                fixture.awaitEvent("list DELTA");
+                try (StubServer.Client client = fixture.client()) {
                     client.send(pipelined(count));
                 }
-                assertEquals("expired p0", sidecar.awaitEvent("expired"));
-                try (StubServer.Client other = sidecar.client()) {
+                assertEquals("expired p0", fixture.awaitEvent("expired"));
+                try (StubServer.Client other = fixture.client()) {
                     other.send(SidecarFixture.idempotentRequest("other", 20_000));
                     // No pipelined request was dispatched in between.
-                    assertTrue(sidecar.events.take().startsWith("request other "));
+                    assertTrue(fixture.events.take().startsWith("request other "));
                 }
             }
         }
@@ -224,15 +224,15 @@
     @Test
     void limitsPipelinedRequests() throws Exception {
         ResponseGate gate = new ResponseGate();
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.addEndpoint((request, connection) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {
                 gate.await();
                 connection.respond("200 OK", "", request.header("X-Txn"));
             });
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(pipelined(2_000));
-                sidecar.awaitEvent("request p0");
+                fixture.awaitEvent("request p0");
                 gate.open();
                 int served = 0;
                 StubServer.Message response;
@@ -252,14 +252,14 @@
      */
     @Test
     void reservesDescriptorForUpstreamConnectionOfEachClient() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.addEndpoint((request, connection) -> {});
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer endpoint = fixture.addEndpoint((request, connection) -> {});
             // 48 descriptors are reserved for the process; a third of all descriptors is for clients with requests.
-            sidecar.descriptorLimit = 192;
-            sidecar.start();
+            fixture.descriptorLimit = 192;
+            fixture.start();
             StubServer.Client[] clients = new StubServer.Client[192 / 3];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = sidecar.client();
+                clients[i] = fixture.client();
                 clients[i].send(SidecarFixture.idempotentRequest("c" + i, 30_000));
             }
             for (int i = 0; i < clients.length; i++) {
@@ -274,17 +274,17 @@
     /** The protocol counts the deadline from the last byte, however slowly the client sends the request. */
     @Test
     void countsDeadlineFromLastByteOfRequest() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 String request = SidecarFixture.idempotentRequest("slow", 200);
                 client.send(request.substring(0, request.length() / 2));
                 Thread.sleep(250);
                 client.send(request.substring(request.length() / 2));
                 assertEquals(502, client.readStatus());
                 long remainingMicros =
-                        Long.parseLong(sidecar.awaitEvent("request slow ").split(" ")[2]);
+                        Long.parseLong(fixture.awaitEvent("request slow ").split(" ")[2]);
                 assertTrue(
                         remainingMicros > 100_000,
                         "the client waits for 200 ms, but the request was dispatched with " + remainingMicros
--- a/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
+++ b/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
@@ -55,11 +55,11 @@
             assertEquals(256, receive(peer).getLength());
             assertEquals(7, receive(broadcastReceiver).getLength());
 
-            InetSocketAddress sidecar = (InetSocketAddress) first.getSocketAddress();
-            unknownSender.send(new DatagramPacket(new byte[3], 3, sidecar));
-            peer.send(new DatagramPacket(new byte[257], 257, sidecar));
-            peer.send(new DatagramPacket(new byte[0], 0, sidecar));
-            peer.send(new DatagramPacket(new byte[256], 256, sidecar));
+            InetSocketAddress sidecarAddress = (InetSocketAddress) first.getSocketAddress();
+            unknownSender.send(new DatagramPacket(new byte[3], 3, sidecarAddress));
+            peer.send(new DatagramPacket(new byte[257], 257, sidecarAddress));
+            peer.send(new DatagramPacket(new byte[0], 0, sidecarAddress));
+            peer.send(new DatagramPacket(new byte[256], 256, sidecarAddress));
             assertEquals("peer 1 0", fixture.awaitEvent("peer"));
             assertEquals("peer 1 256", fixture.awaitEvent("peer"));
         }
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorBudgetTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorBudgetTest.java
@@ -6,7 +6,7 @@
 
 class DescriptorBudgetTest {
     @Test
-    void reservesDescriptorsAndAssignsFiveEighthsOfTheRestToClients() {
+    void reservesDescriptorsAndAssignsFiveEighthsOfRestToClients() {
         assertEquals(new DescriptorBudget(1024 - 48, 610, 85), DescriptorBudget.of(1024));
     }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DescriptorLimitTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients use up the descriptors that client connections may have, or wait in the backlog for one. The other
- * descriptors have to stay usable for discovery and upstream connections.
+ * Clients use up the descriptors for client connections, and further clients wait in the backlog until one is free. The
+ * other descriptors have to stay usable for discovery and upstream connections.
  */
 @Timeout(60)
 class DescriptorLimitTest {
--- a/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LateEventLoopTest.java
@@ -71,7 +71,7 @@
         CountDownLatch unblocked = new CountDownLatch(1);
         fixture.eventLoop.nettyEventLoop().execute(() -> {
             blocked.countDown();
-            awaitUninterruptibly(unblocked);
+            awaitLatch(unblocked);
         });
         blocked.await();
         return unblocked;
@@ -113,7 +113,7 @@
         throw new AssertionError("no event begins with '" + prefix + "': " + events);
     }
 
-    private static void awaitUninterruptibly(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
