--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -18,12 +18,12 @@
 @Timeout(60)
 class MalformedInputTest {
     private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
-        assertEquals(expected, client.send(request).status());
+        assertEquals(expected, client.send(request).readStatus());
     }
 
     @Test
     void respondsToRequestWithStatusOfItsError() throws Exception {
-        String valid = SidecarFixture.get("a1", 9000);
+        String valid = SidecarFixture.idempotentRequest("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
         cases.put("GET /api HTTP/1.1\r\n: : :\r\nbad header\r\n\r\n", 400);
@@ -59,16 +59,16 @@
                         + "Idempotency-Key: k1\r\nContent-Length: 65536\r\n\r\n"
                         + "x".repeat(65_536),
                 200);
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
-            sidecar.await("list DELTA");
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
+            fixture.awaitEvent("list DELTA");
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
-                try (StubServer.Client client = sidecar.client()) {
+                try (StubServer.Client client = fixture.client()) {
                     client.send(entry.getKey());
                     assertEquals(
                             entry.getValue(),
-                            client.status(),
+                            client.readStatus(),
                             entry.getKey().lines().limit(9).toList().toString());
                 }
             }
@@ -81,7 +81,7 @@
      */
     @Test
     void closesConnectionWithoutForwardingSmuggledRequest() throws Exception {
-        String smuggled = SidecarFixture.get("hidden", 9000);
+        String smuggled = SidecarFixture.idempotentRequest("hidden", 9000);
         String head = "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: k\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k1\r\n";
         String chunked = "Transfer-Encoding: chunked\r\n";
         Map<String, Integer> cases = new LinkedHashMap<>();
@@ -95,17 +95,17 @@
         cases.put(head + "Content-Length: 60000000\r\n\r\n" + smuggled, 413);
         cases.put(head + chunked + "\r\nzz\r\n" + smuggled, 400);
         cases.put(head.replace("X-Lane: k", "X-Lane: none") + "\r\n" + smuggled, 400);
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer endpoint = fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
             for (Map.Entry<String, Integer> entry : cases.entrySet()) {
-                try (StubServer.Client client = sidecar.client()) {
+                try (StubServer.Client client = fixture.client()) {
                     client.send(entry.getKey());
-                    assertEquals(entry.getValue(), client.status(), entry.getKey());
+                    assertEquals(entry.getValue(), client.readStatus(), entry.getKey());
                     assertTrue(client.isClosedBySidecar(), entry.getKey());
                 }
             }
-            assertTrue(endpoint.messages.isEmpty(), "a smuggled request was forwarded");
+            assertTrue(endpoint.receivedRequests.isEmpty(), "a smuggled request was forwarded");
         }
     }
 
@@ -113,19 +113,19 @@
     @Test
     void writesErrorResponseAfterPendingResponse() throws Exception {
         ResponseGate gate = new ResponseGate();
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {
                 gate.await();
                 connection.respond("200 OK", "", "first");
             });
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000)
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000)
                         + "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n");
-                sidecar.await("request a1");
+                fixture.awaitEvent("request a1");
                 gate.open();
                 assertEquals("first", client.readResponse().body());
-                assertEquals(413, client.status());
+                assertEquals(413, client.readStatus());
                 assertTrue(client.isClosedBySidecar());
             }
         }
@@ -137,19 +137,19 @@
      */
     @Test
     void closesConnectionsOfSilentClientsAndIncompleteRequests() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
-            try (StubServer.Client silent = sidecar.client();
-                    StubServer.Client partialHead = sidecar.client();
-                    StubServer.Client partialBody = sidecar.client();
-                    StubServer.Client afterOneRequest = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
+            try (StubServer.Client silent = fixture.client();
+                    StubServer.Client partialHead = fixture.client();
+                    StubServer.Client partialBody = fixture.client();
+                    StubServer.Client afterOneRequest = fixture.client()) {
                 partialHead.send("GET /api HTTP/1.1\r\nX-T");
                 partialBody.send("POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-                assertStatus(200, afterOneRequest, SidecarFixture.get("a1", 20_000));
+                assertStatus(200, afterOneRequest, SidecarFixture.idempotentRequest("a1", 20_000));
                 assertTrue(silent.isClosedBySidecar());
-                assertEquals(408, partialHead.status());
-                assertEquals(408, partialBody.status());
+                assertEquals(408, partialHead.readStatus());
+                assertEquals(408, partialBody.readStatus());
                 assertTrue(partialHead.isClosedBySidecar() && partialBody.isClosedBySidecar());
                 assertTrue(
                         afterOneRequest.isClosedBySidecar(),
@@ -161,12 +161,12 @@
     /** Without this limit, a client could make the sidecar hold a request and its resources for days. */
     @Test
     void limitsRemainingTimeOfRequestToDeadlineOfItsClass() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "ok"));
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                assertStatus(200, client, SidecarFixture.get("a1", 999_999_999));
-                assertTrue(Long.parseLong(sidecar.await("request").split(" ")[2]) <= 60_000_000);
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "ok"));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                assertStatus(200, client, SidecarFixture.idempotentRequest("a1", 999_999_999));
+                assertTrue(Long.parseLong(fixture.awaitEvent("request").split(" ")[2]) <= 60_000_000);
             }
         }
     }
@@ -174,14 +174,14 @@
     /** If two open requests had the same id, one response could go to two clients. */
     @Test
     void rejectsIdOfOpenRequest() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
-            sidecar.start();
-            try (StubServer.Client first = sidecar.client();
-                    StubServer.Client other = sidecar.client()) {
-                first.send(SidecarFixture.get("a1", 20_000));
-                sidecar.await("request a1");
-                assertStatus(400, other, SidecarFixture.get("a1", 20_000));
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.start();
+            try (StubServer.Client first = fixture.client();
+                    StubServer.Client other = fixture.client()) {
+                first.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                fixture.awaitEvent("request a1");
+                assertStatus(400, other, SidecarFixture.idempotentRequest("a1", 20_000));
             }
         }
     }
@@ -189,17 +189,18 @@
     /** Without an endpoint the application's requests would fail at once. */
     @Test
     void reportsNotReadyWithoutEndpoint() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(503, client.status());
+                assertEquals(503, client.readStatus());
             }
         }
     }
 
     private static void assertConfigurationError(String json, String... expectedWords) {
-        ConfigurationException error = assertThrows(ConfigurationException.class, () -> SidecarFixture.config(json));
+        ConfigurationException error =
+                assertThrows(ConfigurationException.class, () -> SidecarFixture.parseConfiguration(json));
         for (String word : expectedWords) {
             assertTrue(error.getMessage().contains(word), error.getMessage());
         }
@@ -211,17 +212,18 @@
         String valid = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\","
                 + "\"seed\":\"8c1f30d27a5be964\","
                 + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
-                + SidecarFixture.list(1, true, SidecarFixture.entry("u", "127.0.0.1:8", "Ready", 7))
-                + ",\"settings\":" + SidecarFixture.SETTINGS + ",\"new\":{\"x\":[1]}}";
+                + SidecarFixture.endpointListJson(1, true, SidecarFixture.endpointJson("u", "127.0.0.1:8", "Ready", 7))
+                + ",\"settings\":" + SidecarFixture.SETTINGS_JSON + ",\"new\":{\"x\":[1]}}";
         assertEquals(
                 7000,
-                SidecarFixture.config(valid)
+                SidecarFixture.parseConfiguration(valid)
                         .initialEndpoints()
                         .entries()
                         .get(0)
                         .endpoint()
                         .startedMicros());
-        assertEquals(0x8c1f30d27a5be964L, SidecarFixture.config(valid).seed());
+        assertEquals(
+                0x8c1f30d27a5be964L, SidecarFixture.parseConfiguration(valid).seed());
         assertConfigurationError("", "JSON");
         assertConfigurationError("[]", "JSON");
         assertConfigurationError("{\n\n", "JSON");
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -18,20 +18,20 @@
     private static final String UNKNOWN_PATH = "GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n";
 
     private static void assertStatus(int expected, StubServer.Client client, String request) throws IOException {
-        assertEquals(expected, client.send(request).status());
+        assertEquals(expected, client.send(request).readStatus());
     }
 
     @Test
     void writesRejectionAtOnceWithRetryAfter() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (now, request, out) -> {
-                out.reject(request.id(), 165_000);
-                out.fail(request.id());
-                out.reject(request.id(), 0);
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (nowMicros, request, actions) -> {
+                actions.reject(request.id(), 165_000);
+                actions.fail(request.id());
+                actions.reject(request.id(), 0);
             };
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
                 StubServer.Message response = client.readResponse();
                 assertTrue(response.head().startsWith("HTTP/1.1 503 "), response.head());
                 assertEquals("0.165", response.header("Retry-After"));
@@ -44,25 +44,26 @@
     /** The client gets a response before it stops waiting even if the load balancer makes no decision. */
     @Test
     void failsRequestWithoutDecisionBeforeClientStopsWaiting() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (now, request, out) -> {};
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 300));
-                assertEquals("expired a1", sidecar.await("expired"));
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (nowMicros, request, actions) -> {};
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 300));
+                assertEquals("expired a1", fixture.awaitEvent("expired"));
             }
         }
     }
 
     @Test
     void timesOutAttemptAtDeadlineAndLetsLoadBalancerRespond() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
-            sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", now + 60_000_000);
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 300));
-                assertEquals("outcome a1 0 TIMEOUT false -", sidecar.await("outcome"));
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.onRequest =
+                    (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", nowMicros + 60_000_000);
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 300));
+                assertEquals("outcome a1 0 TIMEOUT false -", fixture.awaitEvent("outcome"));
             }
         }
     }
@@ -70,38 +71,38 @@
     /** If the load balancer throws an exception, only the request that it was handling fails. */
     @Test
     void failsOnlyRequestForWhichLoadBalancerThrows() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
-            sidecar.onRequest = (now, request, out) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
+            fixture.onRequest = (nowMicros, request, actions) -> {
                 throw new IllegalStateException("thrown by the test");
             };
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 20_000));
-                sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
-                sidecar.onOutcome = (id, outcome, done, out) -> {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 20_000));
+                fixture.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+                fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
                     throw new IllegalStateException("thrown by the test");
                 };
-                assertStatus(502, client, SidecarFixture.get("a2", 20_000));
-                sidecar.onRequest = (now, request, out) -> out.startTimer("break", 1);
-                assertStatus(502, client, SidecarFixture.get("a3", 20_000));
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a2", 20_000));
+                fixture.onRequest = (nowMicros, request, actions) -> actions.startTimer("break", 1);
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a3", 20_000));
             }
         }
     }
 
     @Test
     void endsOnlyRequestOfDisconnectedClient() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                sidecar.await("request");
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                fixture.awaitEvent("request");
             }
-            assertEquals("expired a1", sidecar.await("expired"));
-            sidecar.onRequest = (now, request, out) -> out.fail(request.id());
-            try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a2", 20_000));
+            assertEquals("expired a1", fixture.awaitEvent("expired"));
+            fixture.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
+            try (StubServer.Client client = fixture.client()) {
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a2", 20_000));
             }
         }
     }
@@ -109,14 +110,14 @@
     /** A half-closed connection counts as closed, because the sidecar cannot distinguish the two in time. */
     @Test
     void treatsHalfClosedConnectionAsDisconnected() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {});
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                sidecar.await("request");
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {});
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                fixture.awaitEvent("request");
                 client.socket.shutdownOutput();
-                assertEquals("expired a1", sidecar.await("expired"));
+                assertEquals("expired a1", fixture.awaitEvent("expired"));
                 assertTrue(client.isClosedBySidecar());
             }
         }
@@ -125,27 +126,27 @@
     /** A response that arrives after the final response, as with a hedged request, must not reach the client. */
     @Test
     void writesFirstResponseAndOnlyReportsLaterOne() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
             BlockingQueue<StubServer.Connection> unanswered = new LinkedBlockingQueue<>();
-            sidecar.upstream((request, connection) -> unanswered.add(connection));
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", "second"));
-            sidecar.onRequest = (now, request, out) -> out.sendAttempt(request.id(), "u0", 0);
-            sidecar.onOutcome = (id, outcome, done, out) -> {};
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                client.send(SidecarFixture.get("a1", 20_000));
-                sidecar.endpointServers.get(0).next();
-                sidecar.onRequest = (now, request, out) -> {
-                    out.sendAttempt("a1", "u1", 0);
-                    out.fail(request.id());
+            fixture.addEndpoint((request, connection) -> unanswered.add(connection));
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "second"));
+            fixture.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
+            fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {};
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                client.send(SidecarFixture.idempotentRequest("a1", 20_000));
+                fixture.endpointServers.get(0).nextRequest();
+                fixture.onRequest = (nowMicros, request, actions) -> {
+                    actions.sendAttempt("a1", "u1", 0);
+                    actions.fail(request.id());
                 };
-                try (StubServer.Client other = sidecar.client()) {
-                    assertStatus(502, other, SidecarFixture.get("a2", 20_000));
+                try (StubServer.Client other = fixture.client()) {
+                    assertStatus(502, other, SidecarFixture.idempotentRequest("a2", 20_000));
                 }
                 assertEquals("second", client.readResponse().body());
-                assertEquals("outcome a1 1 OK true -", sidecar.await("outcome"));
+                assertEquals("outcome a1 1 OK true -", fixture.awaitEvent("outcome"));
                 unanswered.take().respond("200 OK", "", "first");
-                assertEquals("outcome a1 0 OK true -", sidecar.await("outcome"));
+                assertEquals("outcome a1 0 OK true -", fixture.awaitEvent("outcome"));
                 assertStatus(404, client, UNKNOWN_PATH);
             }
         }
@@ -153,29 +154,29 @@
 
     @Test
     void sendsNoAttemptBeyondMaximum() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> connection.respond("500 No", "", ""));
-            sidecar.onOutcome = (id, outcome, done, out) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer endpoint = fixture.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
+            fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
                 if (outcome == AttemptOutcome.NOT_SENT) {
-                    out.fail(id);
+                    actions.fail(requestId);
                 } else {
-                    out.sendAttempt(id, "u0", 0);
+                    actions.sendAttempt(requestId, "u0", 0);
                 }
             };
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                assertStatus(502, client, SidecarFixture.get("a1", 20_000));
-                assertEquals(4, endpoint.messages.size());
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 20_000));
+                assertEquals(4, endpoint.receivedRequests.size());
             }
         }
     }
 
     @Test
     void respondsToPipelinedRequestsInOrder() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", request.header("X-Txn")));
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(pipelined(40));
                 for (int i = 0; i < 40; i++) {
                     assertEquals("p" + i, client.readResponse().body());
@@ -187,7 +188,7 @@
     private static String pipelined(int count) {
         StringBuilder requests = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            requests.append(SidecarFixture.get("p" + i, 20_000));
+            requests.append(SidecarFixture.idempotentRequest("p" + i, 20_000));
         }
         return requests.toString();
     }
@@ -199,18 +200,18 @@
     @Test
     void noticesDisconnectionBehindPipelinedRequests() throws Exception {
         for (int count : new int[] {2, 20, 2_000}) {
-            try (SidecarFixture sidecar = new SidecarFixture()) {
-                sidecar.upstream((request, connection) -> {});
-                sidecar.start();
-                sidecar.await("list DELTA");
-                try (StubServer.Client client = sidecar.client()) {
+            try (SidecarFixture fixture = new SidecarFixture()) {
+                fixture.addEndpoint((request, connection) -> {});
+                fixture.start();
+                fixture.awaitEvent("list DELTA");
+                try (StubServer.Client client = fixture.client()) {
                     client.send(pipelined(count));
                 }
-                assertEquals("expired p0", sidecar.await("expired"));
-                try (StubServer.Client other = sidecar.client()) {
-                    other.send(SidecarFixture.get("other", 20_000));
+                assertEquals("expired p0", fixture.awaitEvent("expired"));
+                try (StubServer.Client other = fixture.client()) {
+                    other.send(SidecarFixture.idempotentRequest("other", 20_000));
                     // No pipelined request was dispatched in between.
-                    assertTrue(sidecar.events.take().startsWith("request other "));
+                    assertTrue(fixture.events.take().startsWith("request other "));
                 }
             }
         }
@@ -223,15 +224,15 @@
     @Test
     void limitsPipelinedRequests() throws Exception {
         ResponseGate gate = new ResponseGate();
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.upstream((request, connection) -> {
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.addEndpoint((request, connection) -> {
                 gate.await();
                 connection.respond("200 OK", "", request.header("X-Txn"));
             });
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
                 client.send(pipelined(2_000));
-                sidecar.await("request p0");
+                fixture.awaitEvent("request p0");
                 gate.open();
                 int served = 0;
                 StubServer.Message response;
@@ -251,18 +252,18 @@
      */
     @Test
     void reservesDescriptorForUpstreamConnectionOfEachClient() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            StubServer endpoint = sidecar.upstream((request, connection) -> {});
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            StubServer endpoint = fixture.addEndpoint((request, connection) -> {});
             // 48 descriptors are reserved for the process; a third of all descriptors is for clients with requests.
-            sidecar.descriptorLimit = 192;
-            sidecar.start();
+            fixture.descriptorLimit = 192;
+            fixture.start();
             StubServer.Client[] clients = new StubServer.Client[192 / 3];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = sidecar.client();
-                clients[i].send(SidecarFixture.get("c" + i, 30_000));
+                clients[i] = fixture.client();
+                clients[i].send(SidecarFixture.idempotentRequest("c" + i, 30_000));
             }
             for (int i = 0; i < clients.length; i++) {
-                endpoint.next();
+                endpoint.nextRequest();
             }
             for (StubServer.Client client : clients) {
                 client.close();
@@ -270,20 +271,20 @@
         }
     }
 
-    /** The protocol requires this, however slowly the client sends the request. */
+    /** The protocol counts the deadline from the last byte, however slowly the client sends the request. */
     @Test
     void countsDeadlineFromLastByteOfRequest() throws Exception {
-        try (SidecarFixture sidecar = new SidecarFixture()) {
-            sidecar.onRequest = (now, request, out) -> out.fail(request.id());
-            sidecar.start();
-            try (StubServer.Client client = sidecar.client()) {
-                String request = SidecarFixture.get("slow", 200);
+        try (SidecarFixture fixture = new SidecarFixture()) {
+            fixture.onRequest = (nowMicros, request, actions) -> actions.fail(request.id());
+            fixture.start();
+            try (StubServer.Client client = fixture.client()) {
+                String request = SidecarFixture.idempotentRequest("slow", 200);
                 client.send(request.substring(0, request.length() / 2));
                 Thread.sleep(250);
                 client.send(request.substring(request.length() / 2));
-                assertEquals(502, client.status());
+                assertEquals(502, client.readStatus());
                 long remainingMicros =
-                        Long.parseLong(sidecar.await("request slow ").split(" ")[2]);
+                        Long.parseLong(fixture.awaitEvent("request slow ").split(" ")[2]);
                 assertTrue(
                         remainingMicros > 100_000,
                         "the client waits for 200 ms, but the request was dispatched with " + remainingMicros
