--- a/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
+++ b/src/main/java/loadbalancer/proxy/configuration/SidecarConfigurationReader.java
@@ -16,9 +16,9 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * Reads the configuration file and the environment variables that override it. This is the only class that knows the
- * names of these variables and of the fields of the file, except the names of the load balancer settings. It blocks
- * while it reads the file, so it must not be called on an event loop.
+ * Reads the configuration file and the environment variables that override it. Defines the names of these variables and
+ * of the fields of the file, except those within an endpoint list ({@link EndpointList}) and within the load balancer
+ * settings ({@link SettingsReader}). Blocks while it reads the file, so it must not be called on an event loop.
  */
 public final class SidecarConfigurationReader {
     private static final String FILE_VARIABLE = "BALANCER_CONFIG";
@@ -52,7 +52,9 @@
     /**
      * Reads the configuration that a sidecar starts with.
      *
-     * @throws ConfigurationException if the file can't be read or a field is missing or malformed
+     * @param environment the environment variables of the process
+     * @throws ConfigurationException if {@code BALANCER_CONFIG} is not set, the file can't be read, or a field or a
+     *     variable is missing or malformed
      */
     public static SidecarConfiguration read(Map<String, String> environment) throws ConfigurationException {
         byte[] json = readFile(environment);
@@ -122,7 +124,7 @@
         if (!file.has(LIMITS)) {
             return DEFAULT_DESCRIPTOR_LIMIT;
         }
-        return (int) file.object(LIMITS).numberOr(DESCRIPTOR_LIMIT, DEFAULT_DESCRIPTOR_LIMIT);
+        return (int) file.object(LIMITS).integerOr(DESCRIPTOR_LIMIT, DEFAULT_DESCRIPTOR_LIMIT);
     }
 
     private EndpointList initialEndpoints() {
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -54,19 +54,18 @@
         for (JsonObject instance : json.objects("instances")) {
             entries.add(new Entry(readEndpoint(instance), parseAddress(instance.string("hostPort"))));
         }
-        return new EndpointList(json.number("generation"), json.flag("reset"), entries);
+        return new EndpointList(json.integer("generation"), json.flag("reset"), entries);
     }
 
     private static Endpoint readEndpoint(JsonObject instance) {
-        // Start times are Unix times on the wire and in the load balancer. The wire has milliseconds, the load balancer
-        // microseconds.
+        // Start times are Unix times, in milliseconds on the wire and in microseconds in the load balancer.
         return new Endpoint(
                 instance.string("instanceId"),
                 instance.stringOr("zone", ""),
                 instance.stringOr("machineType", ""),
-                (int) instance.numberOr("cell", Endpoint.NO_CELL),
-                instance.numberOr("startedAtMs", 0) * MICROS_PER_MILLI,
-                instance.doubleOr("weight", DEFAULT_WEIGHT),
+                (int) instance.integerOr("cell", Endpoint.NO_CELL),
+                instance.integerOr("startedAtMs", 0) * MICROS_PER_MILLI,
+                instance.decimalOr("weight", DEFAULT_WEIGHT),
                 parseState(instance.string("lifecycle")));
     }
 
--- a/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
+++ b/src/main/java/loadbalancer/proxy/protocol/HeaderValues.java
@@ -72,7 +72,10 @@
         return questionMarkIndex < 0 ? target : target.substring(0, questionMarkIndex);
     }
 
-    /** Formats a duration as seconds with three decimals, the form of {@code Retry-After} in this protocol. */
+    /**
+     * Formats a duration as seconds with three decimals, rounded to the nearest millisecond. This is the form of
+     * {@code Retry-After} in this protocol.
+     */
     public static String formatSeconds(long micros) {
         long millis = (micros + 500) / 1000;
         String decimals = Long.toString(1000 + millis % 1000).substring(1);
--- a/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonObject.java
@@ -42,17 +42,17 @@
     }
 
     /** Returns the number in a required field, without its fraction. */
-    long number(String name) {
+    long integer(String name) {
         return requiredField(name, Number.class, "a number").longValue();
     }
 
     /** Returns the number in a field without its fraction, or {@code defaultValue} if the field is absent. */
-    public long numberOr(String name, long defaultValue) {
-        return has(name) ? number(name) : defaultValue;
+    public long integerOr(String name, long defaultValue) {
+        return has(name) ? integer(name) : defaultValue;
     }
 
     /** Returns the number in a field with its fraction, or {@code defaultValue} if the field is absent. */
-    double doubleOr(String name, double defaultValue) {
+    double decimalOr(String name, double defaultValue) {
         return has(name) ? requiredField(name, Number.class, "a number").doubleValue() : defaultValue;
     }
 
@@ -80,7 +80,7 @@
         return objects;
     }
 
-    /** Returns the elements of an array as strings, or an empty list if the field is absent. */
+    /** Returns the elements of an array, converted to strings, or an empty list if the field is absent. */
     public List<String> stringsOrEmpty(String name) {
         List<String> strings = new ArrayList<>();
         if (has(name)) {
--- a/src/main/java/loadbalancer/proxy/protocol/JsonReader.java
+++ b/src/main/java/loadbalancer/proxy/protocol/JsonReader.java
@@ -19,7 +19,7 @@
     private JsonReader() {}
 
     /**
-     * Returns the fields of the JSON object that {@code text} contains, in UTF-8.
+     * Parses the JSON object at the beginning of {@code text}, which is in UTF-8, and returns its fields by name.
      *
      * @throws MalformedJsonException if the text does not begin with a complete JSON object
      */
--- a/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
+++ b/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
@@ -6,7 +6,10 @@
 /** Parses load reports of the form {@code TEXT inflight=7, queue=2, util=0.61}. Stateless. */
 public final class LoadReportParser {
     private static final String PREFIX = "TEXT ";
-    /** Far above any real value. If a greater value were accepted, its endpoint would be out of use permanently. */
+    /**
+     * Far above any real value. If a greater value were accepted, the endpoint that reports it would never be used
+     * again.
+     */
     private static final double MAX_VALUE = 10_000;
 
     private LoadReportParser() {}
--- a/src/main/java/loadbalancer/proxy/protocol/ProtocolConstants.java
+++ b/src/main/java/loadbalancer/proxy/protocol/ProtocolConstants.java
@@ -8,13 +8,16 @@
     public static final String REQUEST_ID = "X-Txn";
     public static final String REQUEST_CLASS = "X-Lane";
     public static final String TENANT = "X-Org";
+    /** Time until the deadline of the client. */
     public static final String REMAINING_MILLIS = "X-Remaining-Ms";
     /** Has the value {@code 1} if the client has sent this request before. */
     public static final String RETRY = "X-Resent";
 
+    /** The client's estimate of the work of the request, in microseconds of a standard core. */
     public static final String COST_HINT = "X-Estimate";
+
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-    /** Has the value {@code 1} if the endpoint guarantees in its response that it has not run the request. */
+    /** Has the value {@code 1} if the endpoint guarantees in its response that it has not executed the request. */
     public static final String REJECTED = "X-Turned-Away";
 
     public static final String LOAD_REPORT = "X-Pressure";
--- a/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
+++ b/src/test/java/loadbalancer/proxy/protocol/JsonObjectTest.java
@@ -21,11 +21,11 @@
         assertEquals(
                 "1,-25.0,x\u00e9,true,null,[]", json.object("a").flattened().get("b"));
         assertFalse(json.has("n"));
-        assertEquals(9_007_199_254_740_993L, json.number("big"));
+        assertEquals(9_007_199_254_740_993L, json.integer("big"));
         assertEquals(
                 List.of(1L, 2L),
                 json.objects("list").stream()
-                        .map(element -> element.number("i"))
+                        .map(element -> element.integer("i"))
                         .toList());
         assertFalse(json.flag("flag"));
         assertEquals(List.of("p", "q"), json.stringsOrEmpty("texts"));
