--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -33,7 +33,8 @@
             System.exit(new SimulatorHost(System.in, System.out, System.err).run());
         }
         if (command.equals(SERVE) && withoutOptions) {
-            // System.exit would run the shutdown hook, which waits for a sidecar that has not started.
+            // System.exit would run the shutdown hook, if it is registered already. The hook would wait for a graceful
+            // shutdown and then end the process with exit status 0, although the start has failed.
             Runtime.getRuntime().halt(SidecarProcess.serve(System.getenv()));
         }
         if (command.equals(FLEET_COST)) {
--- a/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/LoadBalancerExecutor.java
@@ -7,8 +7,8 @@
 import loadbalancer.decision.LoadBalancerActions;
 
 /**
- * Holds the load balancer and makes all calls to it, one at a time. The actions that the load balancer orders during a
- * call are carried out after the call has returned; calls that result from these actions are made after the last of
+ * Holds the load balancer and makes all calls to it, one at a time. The actions that the load balancer requests during
+ * a call are carried out after the call has returned; calls that result from these actions are made after the last of
  * them. So the load balancer is never re-entered. If a call or an action throws, the failure is logged and the
  * remaining calls and actions are run. Confined to the event loop.
  */
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Creates the load balancer, which may already order actions in its constructor. {@code actionHandler} carries out
-     * all of its actions.
+     * Creates the load balancer, which may already request actions in its constructor. {@code actionHandler} carries
+     * out all of its actions. An exception that {@code factory} throws is passed on to the caller.
      */
     public void start(Function<LoadBalancerActions, LoadBalancer> factory, LoadBalancerActions actionHandler) {
         calls.add(() -> loadBalancer = factory.apply(new DeferredActions(actions, actionHandler)));
@@ -39,7 +39,7 @@
      * and the calls submitted earlier. Must not be called before {@link #start}.
      *
      * @param callName names the call in the log
-     * @param onFailure runs if the call throws, after the actions that the call ordered before it threw
+     * @param onFailure runs if the call throws, after the actions that the call requested before it threw
      */
     public void submit(String callName, Consumer<LoadBalancer> call, Runnable onFailure) {
         calls.add(() -> {
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -32,11 +32,11 @@
      * no attempt would start if every iteration took longer than {@link #MAX_READ_AGE_MICROS}.
      */
     private static final int MAX_POSTPONEMENTS = 2;
-    /** A lag below this time is within the normal inaccuracy of timers and counts as 0. */
+    /** {@link #currentLagMicros} returns 0 for a shorter lag, which is within the normal inaccuracy of timers. */
     private static final long MIN_LAG_MICROS = 20_000;
     /**
-     * Each {@link #recordLag} subtracts from the recent lag its value divided by this number, which halves the recent
-     * lag after about twenty calls.
+     * Each {@link #recordLag} reduces the recent lag by the fraction 1 / {@code LAG_DECAY_DIVISOR}, so that about
+     * twenty calls halve it.
      */
     private static final int LAG_DECAY_DIVISOR = 32;
 
@@ -48,7 +48,7 @@
     private final ArrayDeque<Runnable> pendingAttemptStarts = new ArrayDeque<>();
     private boolean attemptStartsScheduled;
     private int postponements;
-    /** When the last read of all sockets began. */
+    /** When the last read of all sockets began, including the time for which the loop waited for data before it. */
     private long lastReadMicros;
     /**
      * When the first timer of the current iteration was due, in nanoseconds of Netty's clock, or {@link #NO_DEADLINE}
@@ -73,14 +73,19 @@
         return loop;
     }
 
-    /** Ends the thread of the loop at once and closes all of its channels. Pending timers do not run. */
+    /**
+     * Ends the thread of the loop and closes all of its channels. Pending timers do not run. Does not wait until the
+     * thread has ended.
+     */
     public void shutDown() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     /**
-     * Runs {@code attemptStart} after all data that the sockets contain now has been read and handled. If the loop
-     * stays late, runs it after {@link #MAX_POSTPONEMENTS} postponements in any case.
+     * Runs {@code attemptStart} in a later task, once the last read of all sockets is at most
+     * {@link #MAX_READ_AGE_MICROS} old and its results have been handled. Data that has arrived since that read may
+     * still be unread. If the loop stays late, runs {@code attemptStart} after {@link #MAX_POSTPONEMENTS} postponements
+     * in any case.
      */
     public void runAfterPendingReads(Runnable attemptStart) {
         pendingAttemptStarts.add(attemptStart);
@@ -101,7 +106,7 @@
         }
         attemptStartsScheduled = false;
         postponements = 0;
-        // Starts that are added during this loop are left for the next call.
+        // Runs only the starts that are pending now. Starts that are added meanwhile have scheduled another call.
         for (int remaining = pendingAttemptStarts.size(); remaining > 0; remaining--) {
             FaultIsolation.run("attempt_start", pendingAttemptStarts.poll());
         }
@@ -124,7 +129,7 @@
         return lagMicros < MIN_LAG_MICROS ? 0 : lagMicros;
     }
 
-    /** Records how late a periodic task was run. Must be called on each run of a single periodic task. */
+    /** Records by how many microseconds a periodic task was late. Must be called on each run of one such task. */
     public void recordLag(long lagMicros) {
         recentLagMicros = Math.max(lagMicros, recentLagMicros - recentLagMicros / LAG_DECAY_DIVISOR);
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Returns the threads that ran or waited for the longest time since {@code earlier}, as keys and values for a log
-     * line with a space before each key.
+     * Returns the threads that ran or waited for the longest time since {@code earlier}, at most
+     * {@link #MAX_DESCRIBED_THREADS}, as keys and values for a log line with a space before each key.
      */
     String describeSince(ThreadTimes earlier) {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
+++ b/src/main/java/loadbalancer/proxy/gossip/GossipTransport.java
@@ -19,8 +19,8 @@
 
 /**
  * Sends and receives the gossip datagrams between sidecars. A peer is identified by its index in the configured list.
- * Datagrams from other senders and datagrams that are too long are dropped. Delivery is not guaranteed, and no datagram
- * is sent again.
+ * Datagrams from other senders and datagrams of more than {@link #MAX_DATAGRAM_BYTES} are dropped. Delivery is not
+ * guaranteed, and no datagram is sent again.
  *
  * <p>All methods except the constructor and {@link #listen} run on the event loop that owns the socket. The handler
  * releases received buffers, and Netty releases the buffers that were sent.
@@ -51,7 +51,10 @@
         updatePeers(peers, broadcastAddress);
     }
 
-    /** Replaces the peers. From now on the index of a peer is its index in {@code newPeers}. */
+    /**
+     * Replaces the peers. From now on the index of a peer is its index in {@code newPeers}. {@code newBroadcastAddress}
+     * is null if no address reaches all peers.
+     */
     public void updatePeers(List<InetSocketAddress> newPeers, InetSocketAddress newBroadcastAddress) {
         peers = newPeers;
         broadcastAddress = newBroadcastAddress;
@@ -61,7 +64,11 @@
         }
     }
 
-    /** Binds the socket. Blocks until it is bound, so it must not be called on the event loop. */
+    /**
+     * Binds the socket. Blocks until it is bound, so it must not be called on the event loop.
+     *
+     * @throws java.net.BindException (not declared) if the address can't be bound
+     */
     public void listen(EventLoop loop, InetSocketAddress address) throws InterruptedException {
         channel = new Bootstrap()
                 .group(loop)
@@ -73,8 +80,9 @@
     }
 
     /**
-     * Sends a message to a peer, or to all peers if {@code peerIndex} is {@link LoadBalancerActions#ALL_SIDECARS}. Does
-     * nothing if the peer is unknown or the message is too long.
+     * Sends a message to a peer, or to the broadcast address if {@code peerIndex} is
+     * {@link LoadBalancerActions#ALL_SIDECARS}. Does nothing if there is no such peer or no broadcast address, if the
+     * message is longer than {@link #MAX_DATAGRAM_BYTES}, or if the socket is not bound.
      */
     public void send(int peerIndex, byte[] message) {
         InetSocketAddress recipient = recipient(peerIndex);
@@ -83,7 +91,7 @@
         }
     }
 
-    /** Returns the address to send to, or null if there is no such peer. */
+    /** Returns the address to send to, or null if there is no such peer or no broadcast address. */
     private InetSocketAddress recipient(int peerIndex) {
         if (peerIndex == LoadBalancerActions.ALL_SIDECARS) {
             return broadcastAddress;
--- a/src/main/java/loadbalancer/proxy/lifecycle/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/DescriptorBudget.java
@@ -10,17 +10,23 @@
  * @param maxIdleClientConnections maximum number of client connections that are kept open between two requests
  */
 record DescriptorBudget(int maxConnections, int maxClientConnections, int maxIdleClientConnections) {
-    /** Descriptors that are not available for connections: files, listening sockets and the selector use them. */
+    /**
+     * Descriptors for everything but client and upstream connections: files, the selector, the listening sockets and
+     * the connection to discovery.
+     */
     private static final int RESERVED_DESCRIPTORS = 48;
 
+    /** Lower bound of {@code maxConnections}, however low the descriptor limit is. */
     private static final int MIN_CONNECTIONS = 32;
 
     static DescriptorBudget of(int descriptorLimit) {
         int maxConnections = Math.max(MIN_CONNECTIONS, descriptorLimit - RESERVED_DESCRIPTORS);
-        // The application may use a third of all descriptors for its requests, in addition to connections that send
-        // nothing. With far fewer descriptors for upstream connections, most requests would have to open one first.
+        // The application may use a third of all descriptors for connections that send requests, and further ones for
+        // connections that send nothing. The remaining three eighths are for upstream connections: with far fewer, most
+        // requests would first have to open an upstream connection.
         int maxClientConnections = maxConnections * 5 / 8;
-        // A quarter of that third; the other three quarters are for connections with a request in progress.
+        // A quarter of that third of all descriptors. Its other three quarters are for connections with a request in
+        // progress.
         int maxIdleClientConnections = descriptorLimit / 12;
         return new DescriptorBudget(maxConnections, maxClientConnections, maxIdleClientConnections);
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/Sidecar.java
@@ -27,8 +27,9 @@
 
 /**
  * One sidecar: creates its components, starts them, applies a new configuration to them and stops them. A single event
- * loop owns all components. The methods may be called from any thread except that of the event loop; they submit their
- * work to the loop.
+ * loop owns all components. No method may be called on the event loop, because some methods wait for it. The
+ * constructor, {@link #delayReadinessForWarmUp}, {@link #start} and {@link #listenAddress} must be called on one and
+ * the same thread; the other methods may be called from any thread.
  */
 public final class Sidecar {
     /**
@@ -224,7 +225,8 @@
 
     /**
      * Makes the sidecar report that it is not ready until {@link #warmUpCompleted}, although it serves requests. Until
-     * then {@code onRequest} runs on the event loop for each accepted request. Must be called before {@link #start}.
+     * then {@code onRequest} runs on the event loop for each valid request, before it is dispatched. Must be called
+     * before {@link #start}.
      */
     public void delayReadinessForWarmUp(Runnable onRequest) {
         httpServer.delayReadinessForWarmUp(onRequest);
@@ -239,8 +241,9 @@
     }
 
     /**
-     * Applies a validated configuration on the event loop: discovery address, settings and gossip peers. Changes of the
-     * listen addresses, the descriptor limit and the seed take effect at the next start.
+     * Applies a validated configuration on the event loop: discovery address, settings and gossip peers. A new
+     * broadcast address for gossip is applied only if the settings or the gossip peers change too. All other changes,
+     * such as those of the listen addresses, the descriptor limit and the seed, take effect at the next start.
      */
     public void applyConfiguration(SidecarConfiguration reloaded) {
         nettyEventLoop.execute(() -> {
@@ -280,7 +283,7 @@
         nettyEventLoop.execute(() -> httpServer.shutDownGracefully(onStopped));
     }
 
-    /** Ends the event loop at once and drops all requests and connections. */
+    /** Ends the event loop and drops all requests and connections. Does not wait until the loop has ended. */
     public void shutDownNow() {
         nettyEventLoop.execute(discovery::stop);
         eventLoop.shutDown();
--- a/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/SidecarProcess.java
@@ -12,8 +12,8 @@
 import loadbalancer.proxy.observability.StartupTimer;
 
 /**
- * The process of one sidecar: reads the configuration that the environment variables point to, starts the sidecar,
- * reports readiness, and stops the sidecar on a termination signal.
+ * The process of one sidecar: reads the configuration, starts the sidecar, reports readiness, and stops the sidecar on
+ * a termination signal.
  */
 public final class SidecarProcess {
     private static final int EXIT_STOPPED = 0;
@@ -24,7 +24,7 @@
 
     /**
      * Starts the sidecar and serves until the process ends. Returns only if the start failed; the result is the exit
-     * code of the process.
+     * code that the process should end with. {@code environment} contains the environment variables of the process.
      */
     public static int serve(Map<String, String> environment) throws InterruptedException {
         int exitCode = EXIT_START_FAILED;
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -39,7 +39,7 @@
     /** Enough concurrent requests to keep the event loop busy, but too few to overload an endpoint. */
     private static final int CLIENT_CONNECTIONS = 3;
 
-    private static final int ENDPOINTS = 6;
+    private static final int ENDPOINT_COUNT = 6;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final long MAX_DURATION_MILLIS = 1_500;
 
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Runs the warm-up, blocks until it has ended and returns the number of responses that were received. A failure is
-     * logged, not thrown.
+     * Runs the warm-up, blocks until it has ended and returns the number of responses that were received. A failure or
+     * an interruption of the calling thread is logged, not thrown.
      */
     int run() {
         ReadTrackingEventLoop eventLoop = new ReadTrackingEventLoop(new MonotonicClock());
@@ -72,7 +72,7 @@
         } finally {
             eventLoop.shutDown();
         }
-        return client.responses();
+        return client.responseCount();
     }
 
     private void serveRequests(ReadTrackingEventLoop eventLoop) throws InterruptedException {
@@ -118,7 +118,7 @@
 
     private static EndpointList endpointsAt(InetSocketAddress address) {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (int i = 0; i < ENDPOINTS; i++) {
+        for (int i = 0; i < ENDPOINT_COUNT; i++) {
             Endpoint endpoint = new Endpoint("warm-up-" + i, "", "", Endpoint.NO_CELL, 0, 1, EndpointState.READY);
             entries.add(new EndpointList.Entry(endpoint, address));
         }
--- a/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/WarmUpClient.java
@@ -18,7 +18,7 @@
 
 /**
  * The client of a warm-up. Sends requests of all classes in turn, one at a time on each connection, until
- * {@code maxResponses} responses have arrived. {@link #cancel}, {@link #await} and {@link #responses} may be called
+ * {@code maxResponses} responses have arrived. {@link #cancel}, {@link #await} and {@link #responseCount} may be called
  * from any thread; all other methods run on the event loop of the connections.
  */
 final class WarmUpClient {
@@ -27,7 +27,7 @@
     private final CountDownLatch finished = new CountDownLatch(1);
     private int requestsSent;
     /** Written only by the event loop. */
-    private volatile int responses;
+    private volatile int responseCount;
 
     WarmUpClient(List<RequestClass> requestClasses, int maxResponses) {
         this.requestClasses = requestClasses;
@@ -49,8 +49,8 @@
         finished.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
-    int responses() {
-        return responses;
+    int responseCount() {
+        return responseCount;
     }
 
     private FullHttpRequest nextRequest() {
@@ -80,8 +80,8 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            responses++;
-            if (responses >= maxResponses) {
+            responseCount++;
+            if (responseCount >= maxResponses) {
                 finished.countDown();
             } else {
                 context.writeAndFlush(nextRequest());
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -7,9 +7,9 @@
 
 /** Counts the traffic since the previous {@code totals} line of the log. Confined to the event loop. */
 public final class TrafficStatistics {
-    private final Map<AttemptOutcome, Integer> attemptOutcomes = new EnumMap<>(AttemptOutcome.class);
+    private final Map<AttemptOutcome, Integer> attemptsByOutcome = new EnumMap<>(AttemptOutcome.class);
     /** Counts by request class, because the sums can look good although one class is hardly served. */
-    private final Map<String, ClassCounts> requestClasses = new TreeMap<>();
+    private final Map<String, ClassCounts> countsByRequestClass = new TreeMap<>();
 
     private int failedRequests;
     private int disconnectedClients;
@@ -27,7 +27,7 @@
     }
 
     private ClassCounts countsOf(String requestClass) {
-        return requestClasses.computeIfAbsent(requestClass, name -> new ClassCounts());
+        return countsByRequestClass.computeIfAbsent(requestClass, name -> new ClassCounts());
     }
 
     /** Counts a valid request that a client has sent. */
@@ -40,12 +40,12 @@
         countsOf(requestClass).served++;
     }
 
-    /** Counts a request that was completed with a rejection, which states that no endpoint has run the request. */
+    /** Counts a request that was completed with a rejection, which states that no endpoint has executed the request. */
     public void requestRejected(String requestClass) {
         countsOf(requestClass).rejected++;
     }
 
-    /** Counts a request that was completed with an error, and that an endpoint may have run. */
+    /** Counts a request that was completed with an error, and that an endpoint may have executed. */
     public void requestFailed() {
         failedRequests++;
     }
@@ -64,7 +64,7 @@
 
     /** Counts an attempt that has ended. */
     public void attemptCompleted(AttemptOutcome outcome) {
-        attemptOutcomes.merge(outcome, 1, Integer::sum);
+        attemptsByOutcome.merge(outcome, 1, Integer::sum);
     }
 
     /** Counts a client connection that was accepted. */
@@ -84,7 +84,8 @@
 
     /** Returns a log line with all counts and resets the counts. Returns null if there was no traffic. */
     public String summarizeAndReset(int openRequestCount, int clientConnectionCount, int upstreamConnectionCount) {
-        if (requestClasses.isEmpty() && clientConnectionsAccepted + upstreamConnectionsOpened + openRequestCount == 0) {
+        if (countsByRequestClass.isEmpty()
+                && clientConnectionsAccepted + upstreamConnectionsOpened + openRequestCount == 0) {
             maxLagMicros = 0;
             return null;
         }
@@ -95,7 +96,7 @@
 
     private String summary(int openRequestCount, int clientConnectionCount, int upstreamConnectionCount) {
         StringBuilder line = new StringBuilder("totals");
-        requestClasses.forEach((name, counts) -> line.append(" class=")
+        countsByRequestClass.forEach((name, counts) -> line.append(" class=")
                 .append(name)
                 .append(" accepted=")
                 .append(counts.accepted)
@@ -113,14 +114,14 @@
         line.append(" upstream_connections=").append(upstreamConnectionCount);
         line.append(" upstream_connections_opened=").append(upstreamConnectionsOpened);
         line.append(" lag_max_millis=").append(maxLagMicros / 1000);
-        attemptOutcomes.forEach((outcome, attempts) ->
+        attemptsByOutcome.forEach((outcome, attempts) ->
                 line.append(" outcome=").append(outcome).append(" attempts=").append(attempts));
         return line.toString();
     }
 
     private void reset() {
-        attemptOutcomes.clear();
-        requestClasses.clear();
+        attemptsByOutcome.clear();
+        countsByRequestClass.clear();
         failedRequests = 0;
         disconnectedClients = 0;
         firstAttempts = 0;
--- a/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/FaultIsolationTest.java
@@ -50,8 +50,8 @@
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
                 for (int i = 0; i < FAILURES.size(); i++) {
-                    // A request that is not answered at once waits until its deadline, which exceeds the time limit of
-                    // the test.
+                    // A request that is not answered at once waits until its deadline, which is as long as the time
+                    // limit of the test.
                     client.send(SidecarFixture.idempotentRequest("failure-" + i, 60_000));
                     assertEquals(502, client.readStatus());
                     client.send(SidecarFixture.idempotentRequest("next-" + i, 20_000));
--- a/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/GracefulShutdownTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A graceful shutdown answers every request that a client has sent. */
+/**
+ * A graceful shutdown answers every request that a client has sent. The last two tests verify which idle connections
+ * the sidecar closes without a shutdown.
+ */
 @Timeout(60)
 class GracefulShutdownTest {
     /** Echoes the request id; if the id has the prefix, only after the latch is released. */
@@ -109,7 +112,10 @@
         assertEquals(404, client.readStatus());
     }
 
-    /** The platform kills the process some time after the longest deadline; a later response would not be sent. */
+    /**
+     * The platform kills the process 0.7 s plus the longest deadline of a request class after it requests the shutdown,
+     * and counts at most 3 s of that deadline. A later response would not be sent.
+     */
     @Test
     void limitsDeadlinesDuringShutdownToTimeBeforeProcessIsKilled() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -52,19 +52,19 @@
 
     @Test
     void servesRequestBeforeReadinessAndThenEndsWarmUp() throws Exception {
-        CountDownLatch warmUpInterrupted = new CountDownLatch(1);
+        CountDownLatch warmUpCancelled = new CountDownLatch(1);
         try (SidecarFixture fixture = new SidecarFixture()) {
             fixture.addEndpoint(StubServer.respondingWith("ok"));
-            fixture.onRequestDuringWarmUp = warmUpInterrupted::countDown;
+            fixture.onRequestDuringWarmUp = warmUpCancelled::countDown;
             fixture.start();
             fixture.awaitEvent("list DELTA");
             try (StubServer.Client client = fixture.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(503, client.readStatus());
-                assertEquals(1, warmUpInterrupted.getCount());
+                assertEquals(1, warmUpCancelled.getCount());
                 client.send(SidecarFixture.idempotentRequest("a1", 20_000));
                 assertEquals(200, client.readStatus());
-                assertTrue(warmUpInterrupted.await(20, TimeUnit.SECONDS));
+                assertTrue(warmUpCancelled.await(20, TimeUnit.SECONDS));
                 fixture.sidecar.warmUpCompleted();
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(200, client.readStatus());
