--- a/src/main/java/loadbalancer/simulation/EventQueue.java
+++ b/src/main/java/loadbalancer/simulation/EventQueue.java
@@ -34,7 +34,7 @@
         events.add(new Event(nowMicros + Math.max(0, delayMicros), scheduledCount++, action));
     }
 
-    /** Runs all events up to and including this time and returns their number. */
+    /** Runs all events up to and including this time, advances the clock to it, and returns the number of events. */
     long runUntil(long untilMicros) {
         long eventCount = 0;
         while (!events.isEmpty() && events.peek().atMicros <= untilMicros) {
--- a/src/main/java/loadbalancer/simulation/PolicyCosts.java
+++ b/src/main/java/loadbalancer/simulation/PolicyCosts.java
@@ -23,15 +23,15 @@
 final class PolicyCosts {
     /** Number of batches of runs; the result is the median of the batch means. */
     private static final int BATCH_COUNT = 15;
-    /** Number of attempts in flight while the module is measured. */
-    private static final int IN_FLIGHT_COUNT = 20;
+    /** Number of requests that the warm-up sends before it reports the first outcome. */
+    private static final int INITIAL_REQUEST_COUNT = 20;
     /** Number of modules created to measure the heap; the mean over the second half reduces the error of a reading. */
     private static final int HEAP_MODULE_COUNT = 20;
     /** Request rate of the measured module: 180,000 requests per second over 2,400 sidecars. */
     private static final int REQUESTS_PER_SECOND = 75;
 
     private static final int WARM_UP_REQUESTS = 3_000;
-    private static final int GOSSIP_EVERY_REQUESTS = 50;
+    private static final int REQUESTS_PER_GOSSIP = 50;
     /** Time after which the module recomputes its routing weights. */
     private static final long RECOMPUTE_INTERVAL_MICROS = 100_000;
 
@@ -70,8 +70,7 @@
         collectGossip();
         List<LoadBalancingPolicy> policies = new ArrayList<>();
         // The first half is not measured: it also loads the classes and data that all modules share, and garbage of
-        // earlier
-        // work is collected in the meantime.
+        // earlier work is collected in the meantime.
         addPolicies(policies, HEAP_MODULE_COUNT / 2);
         long firstHalfBytes = usedHeapBytes();
         addPolicies(policies, HEAP_MODULE_COUNT / 2);
@@ -114,14 +113,14 @@
     }
 
     private void warmUp() {
-        for (int i = 0; i < IN_FLIGHT_COUNT; i++) {
+        for (int i = 0; i < INITIAL_REQUEST_COUNT; i++) {
             sendRequest();
         }
         for (int i = 0; i < WARM_UP_REQUESTS; i++) {
             nowMicros += 1_000_000 / REQUESTS_PER_SECOND;
             sendRequest();
             reportOutcome();
-            if (i % GOSSIP_EVERY_REQUESTS == 0) {
+            if (i % REQUESTS_PER_GOSSIP == 0) {
                 policy.onTimer(nowMicros, GOSSIP_TIMER);
             }
         }
@@ -152,7 +151,7 @@
         policy.onRequest(nowMicros, newRequest(id, requestClass));
     }
 
-    /** Reports the outcome of a random attempt in flight, so that the number of attempts in flight stays constant. */
+    /** Reports the outcome of a random attempt in flight; does nothing if there is none. */
     private void reportOutcome() {
         if (inFlight.isEmpty()) {
             return;
@@ -169,7 +168,10 @@
         policy.onAttemptOutcome(nowMicros, result);
     }
 
-    /** Returns the median of the batch means of the processor time of one run of {@code measured}. */
+    /**
+     * Runs {@code measured} in batches, each time after {@code preparation}, whose time is not measured. Returns the
+     * median over the batches of the mean processor time of one run.
+     */
     private double medianMicros(int runsPerBatch, Runnable preparation, Runnable measured) {
         double[] batchMicros = new double[BATCH_COUNT];
         for (int batch = 0; batch < BATCH_COUNT; batch++) {
--- a/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedEndpoint.java
@@ -53,7 +53,10 @@
         return Math.min(1, ratio);
     }
 
-    /** Accepts a request and returns the time of its response. */
+    /**
+     * Accepts a request and returns the time of its response. {@code workMicros} is the time that the request takes on
+     * one core at full capacity.
+     */
     long accept(long nowMicros, double workMicros) {
         int core = firstIdleCore();
         double startMicros = Math.max(nowMicros, coreIdleAtMicros[core]);
--- a/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulation/SimulatedSidecar.java
@@ -12,7 +12,10 @@
 import loadbalancer.decision.LoadBalancingPolicy;
 import loadbalancer.decision.Request;
 
-/** A sidecar of a simulated fleet: a real decision module whose actions are executed by the models of the fleet. */
+/**
+ * A sidecar of a simulated fleet: a real decision module whose attempts, gossip and timers are carried out by the
+ * models of the fleet. Cancellations, health checks, polls of the endpoint list and closing of connections are ignored.
+ */
 final class SimulatedSidecar extends NoOpActions {
     private static final Pattern FLEET_RATE = Pattern.compile("^estimates .*?\\bfleet_rate_per_second=(\\d+)");
 
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -47,7 +47,7 @@
 
     private InstanceEvent endpointList(FieldReader fields) {
         EndpointListType type = WireNames.endpointListType(fields.integer());
-        // The version of the list is not needed: the simulator sends changes in order and without gaps.
+        // The generation of the list is not needed: the simulator sends changes in order and without gaps.
         fields.integerOr(0);
         int page = (int) fields.integerOr(NO_PAGE);
         List<Endpoint> endpoints = type == EndpointListType.FAILED ? List.of() : pages.get(page);
--- a/src/main/java/loadbalancer/simulator/FieldReader.java
+++ b/src/main/java/loadbalancer/simulator/FieldReader.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Reads the fields of one line of the simulator's wire from left to right. Fields are separated by single spaces;
+ * Reads the fields of one line of the simulator protocol from left to right. Fields are separated by single spaces;
  * {@link WireNames#ABSENT} stands for an absent value.
  *
  * <p>All methods throw {@link SimulatorProtocolException} if the field is malformed. {@link #text} and {@link #integer}
--- a/src/main/java/loadbalancer/simulator/WireNames.java
+++ b/src/main/java/loadbalancer/simulator/WireNames.java
@@ -5,8 +5,8 @@
 import loadbalancer.decision.EndpointState;
 
 /**
- * Defines the names and codes of the simulator's wire and maps them to the terms of the code. No other class defines
- * any.
+ * Defines the message names and the codes of the simulator protocol and maps them to the terms of the code. The names
+ * of settings and of the values in load reports are defined in {@link loadbalancer.input}.
  */
 final class WireNames {
     // Delimiters of batches and replies.
--- a/src/test/java/loadbalancer/simulation/PolicyCostsTest.java
+++ b/src/test/java/loadbalancer/simulation/PolicyCostsTest.java
@@ -6,7 +6,7 @@
 
 /** Verifies that every cost of a decision module can be measured; the values depend on the machine. */
 class PolicyCostsTest {
-    /** The measurements need gossip of another module, so that they fail if its gossip timer sends none. */
+    /** The measurements need gossip of another module, so they fail if its gossip timer sends none. */
     @Test
     void measuresCostsOfSmallFleet() {
         PolicyCosts costs = new PolicyCosts(3, 4);
--- a/src/test/java/loadbalancer/simulator/FieldReaderTest.java
+++ b/src/test/java/loadbalancer/simulator/FieldReaderTest.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Verifies that the fields of a line are read in order and by type, and that errors contain a malformed field. */
+/**
+ * Verifies that the fields of a line are read in order and by type, and that error messages contain the malformed
+ * field.
+ */
 class FieldReaderTest {
     private static void assertInvalid(String line, String expectedMessage) {
         FieldReader fields = new FieldReader(line);
