--- a/src/main/java/loadbalancer/decision/CapacityRequirement.java
+++ b/src/main/java/loadbalancer/decision/CapacityRequirement.java
@@ -4,6 +4,9 @@
 enum CapacityRequirement {
     /** At least one core must be free. */
     FREE_CORE,
-    /** The load must be below the load limit, and the response must be expected in time unless the endpoint is idle. */
+    /**
+     * The load including the request must not exceed the load limit, and the response must be expected in time. The
+     * latter is not required of an endpoint that is known to be idle and is not in slow start.
+     */
     BELOW_LIMIT
 }
--- a/src/main/java/loadbalancer/decision/EndpointAvailability.java
+++ b/src/main/java/loadbalancer/decision/EndpointAvailability.java
@@ -7,7 +7,10 @@
 final class EndpointAvailability {
     /** An endpoint whose load is below this number of requests counts as idle; estimated loads are fractional. */
     private static final double IDLE_LOAD = 0.5;
-    /** An endpoint has a free core if its load is below its number of cores by more than this, in requests. */
+    /**
+     * An endpoint has a free core if its load is below its number of cores, reduced in slow start and rounded, by more
+     * than this, in requests.
+     */
     private static final double FREE_CORE_TOLERANCE = 0.5;
     /**
      * Requests by which a sampled load may exceed the load limit: half of one, because sampled loads are whole numbers.
@@ -38,10 +41,7 @@
         this.speeds = speeds;
     }
 
-    /**
-     * Returns whether the endpoint is healthy, the rules allow the send and the endpoint has the required spare
-     * capacity.
-     */
+    /** Returns whether the endpoint can take the request now and has the required spare capacity. */
     boolean canTake(long nowMicros, PendingRequest request, TrackedEndpoint endpoint, CapacityRequirement requirement) {
         if (!outliers.isAvailable(endpoint, nowMicros) || !eligibility.maySend(nowMicros, request, endpoint)) {
             return false;
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Applies an endpoint list. Marks endpoints that a full or cached list does not contain as removed. */
+    /**
+     * Applies an endpoint list. Marks endpoints that a full or cached list does not contain as removed. Must not be
+     * called with {@link EndpointListType#FAILED}.
+     */
     void onEndpointList(EndpointListType type, List<Endpoint> listEntries) {
         Set<String> listedIds = new HashSet<>();
         for (Endpoint listEntry : listEntries) {
--- a/src/main/java/loadbalancer/decision/EndpointSelector.java
+++ b/src/main/java/loadbalancer/decision/EndpointSelector.java
@@ -3,13 +3,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects the endpoint for a request: by sampled load if health checks are allowed and cheap, otherwise by HALO_PoD
- * with the estimated load.
+ * Selects the endpoint for a request by HALO_PoD: with sampled loads if {@link PolicySettings#samplesLoad} is true,
+ * otherwise with estimated loads.
  *
- * <p>Without sampling, the selector makes up to three tries. If the local zone is preferred, the first try considers
- * only the endpoints of the local zone or, for requests that exceed the local zone's fraction of the traffic, only
- * those of the other zones. The second try considers all endpoints with a free core, the third all endpoints below
- * their load limit.
+ * <p>Without sampling, the selector makes up to three tries. The first try is made only if the local zone is preferred.
+ * It considers the endpoints of the local zone below their load limit. If local requests say little about the load of
+ * an endpoint, it considers those of the other zones instead for the fraction of the requests that
+ * {@link ZoneTrafficSplit} sends there. The second try considers all endpoints with a free core, the third all
+ * endpoints below their load limit.
  */
 final class EndpointSelector {
     private final PolicySettings settings;
--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -10,13 +10,16 @@
  *
  * <p>The endpoints of each zone and machine type form a ring, in an order that is the same on all sidecars, and the
  * subset contains a segment of consecutive endpoints of each ring. The sidecar's index determines where its segments
- * start, so that the subsets of all sidecars cover the endpoints evenly and a change of the endpoint list shifts a
+ * start, so that the subsets of all sidecars cover the endpoints evenly and one added or removed endpoint shifts a
  * segment by one position at most. The length of the segments is proportional to the sidecar's fraction of the fleet's
  * request rate, so that the number of sidecars that use an endpoint does not depend on the size of the fleet.
  */
 final class EndpointSubset {
     private static final long UPDATE_INTERVAL_MICROS = 500_000;
-    /** Minimum number of endpoints: two for a draw and one spare. */
+    /**
+     * Minimum target size: two endpoints for a draw and one spare. An idle limit or rounding can make the subset
+     * smaller.
+     */
     private static final int MIN_SIZE = 3;
     /** Each update reduces the target size to no less than this fraction of its previous value. */
     private static final double MIN_SHRINK_RATIO = 0.9;
@@ -91,17 +94,17 @@
     private List<TrackedEndpoint> selectMembers() {
         double size = updateTargetSize();
         int[] readyCountByZone = new int[settings.zoneCount()];
-        Map<ZoneAndMachineType, List<TrackedEndpoint>> groups = new LinkedHashMap<>();
+        Map<ZoneAndMachineType, List<TrackedEndpoint>> rings = new LinkedHashMap<>();
         for (TrackedEndpoint endpoint : registry.ready()) {
             ZoneAndMachineType key = new ZoneAndMachineType(
                     endpoint.zoneIndex(), endpoint.listEntry().machineType());
-            groups.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
+            rings.computeIfAbsent(key, unused -> new ArrayList<>()).add(endpoint);
             readyCountByZone[endpoint.zoneIndex()]++;
         }
         List<TrackedEndpoint> selected = new ArrayList<>();
-        for (Map.Entry<ZoneAndMachineType, List<TrackedEndpoint>> group : groups.entrySet()) {
-            int zoneIndex = group.getKey().zoneIndex();
-            addSegment(group.getValue(), zoneIndex, size, readyCountByZone[zoneIndex], selected);
+        for (Map.Entry<ZoneAndMachineType, List<TrackedEndpoint>> ring : rings.entrySet()) {
+            int zoneIndex = ring.getKey().zoneIndex();
+            addSegment(ring.getValue(), zoneIndex, size, readyCountByZone[zoneIndex], selected);
         }
         return selected;
     }
@@ -121,18 +124,19 @@
         return Math.min(maxSize, targetSize);
     }
 
+    /** Adds this sidecar's segment of one ring to the selected endpoints; in the local zone, at least one endpoint. */
     private void addSegment(
-            List<TrackedEndpoint> group,
+            List<TrackedEndpoint> ring,
             int zoneIndex,
             double size,
             int zoneReadyCount,
             List<TrackedEndpoint> selected) {
-        double exactCount = zoneTrafficSplit.fraction(zoneIndex) * size * group.size() / zoneReadyCount;
+        double exactCount = zoneTrafficSplit.fraction(zoneIndex) * size * ring.size() / zoneReadyCount;
         double roundedCount = Math.floor(exactCount + settings.sidecarIndex() * ROUNDING_STEP % 1);
         double count = Math.max(zoneIndex == settings.localZoneIndex() ? 1 : 0, roundedCount);
-        int start = (int) (settings.sidecarIndex() * GOLDEN_RATIO_CONJUGATE % 1 * group.size());
-        for (int i = 0; i < Math.min(count, group.size()); i++) {
-            selected.add(group.get((i + start) % group.size()));
+        int start = (int) (settings.sidecarIndex() * GOLDEN_RATIO_CONJUGATE % 1 * ring.size());
+        for (int i = 0; i < Math.min(count, ring.size()); i++) {
+            selected.add(ring.get((i + start) % ring.size()));
         }
     }
 }
--- a/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/FleetLoadEstimator.java
@@ -48,7 +48,7 @@
 
     /**
      * Returns the number of requests of other sidecars on one endpoint, in proportion to its fraction of all cores; 0
-     * if endpoints send load reports, no peer is live or the endpoint is ejected.
+     * if endpoints send load reports, no peer is live, no cores are known or the endpoint is ejected.
      */
     double remoteInFlight(TrackedEndpoint endpoint, long nowMicros) {
         if (settings.hasLoadReports()
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -4,12 +4,12 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * The decision module of one sidecar. The host reports events by calling these methods; during such a call the module
- * carries out its decisions by calling {@link LoadBalancerActions}. Not thread-safe: all calls must come from one
- * thread.
+ * The decision module of one sidecar. The program that contains the module, its host, reports events by calling these
+ * methods; during such a call the module carries out its decisions by calling {@link LoadBalancerActions}. Not
+ * thread-safe: all calls must come from one thread.
  *
- * <p>Times are in microseconds of one monotonic clock. The module has no other source of time, so that the same events
- * and the same seed give the same decisions.
+ * <p>Times are in microseconds of one monotonic clock, to which {@link Endpoint#startedMicros} also refers. The module
+ * has no other source of time, so that the same events and the same seed give the same decisions.
  */
 public interface LoadBalancer {
     /**
@@ -29,10 +29,12 @@
      */
     void onRequest(long nowMicros, Request request);
 
-    /** Reports how an attempt ended. */
+    /** Reports how an attempt ended. If the attempt is not in flight, only its load report is used. */
     void onAttemptOutcome(long nowMicros, AttemptResult result);
 
-    /** Reports that the start of a streamed response was forwarded to the client: no further attempt may be sent. */
+    /**
+     * Reports that the start of a streamed response was forwarded to the client. No further attempt is sent after that.
+     */
     void onStreamStart(long nowMicros, String requestId, int attemptNumber, String endpointId, long latencyMicros);
 
     /** Reports the outcome of a health check; {@code loadReport} is null if the endpoint reported no load. */
@@ -45,7 +47,7 @@
      */
     void onRequestExpired(long nowMicros, String requestId);
 
-    /** Handles a gossip message from another sidecar; ignores a malformed one. */
+    /** Handles a gossip message; ignores it if it is malformed or the index is not that of another sidecar. */
     void onGossip(long nowMicros, int sidecarIndex, byte[] message);
 
     /** Reports that a timer started by {@link LoadBalancerActions#startTimer} has expired. */
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -58,7 +58,10 @@
         discovery.start();
     }
 
-    /** Keeps the learned estimates; pending requests keep the request class that they were accepted with. */
+    /**
+     * Keeps the learned estimates, but forgets the gossip received so far. Pending requests keep the request class that
+     * they were accepted with.
+     */
     @Override
     public void onSettings(long nowMicros, LoadBalancerSettings newSettings) {
         apply(newSettings);
--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -2,8 +2,8 @@
 
 /**
  * Estimates how many requests an endpoint holds: the local attempts in flight, plus the requests of other sidecars
- * according to the endpoint's last load report, minus those that it can have served since. This is the load that
- * HALO_PoD compares (section IV-C).
+ * according to the endpoint's last load report, minus those that it can have served since, plus an additional load
+ * while a response is late. This is the load that HALO_PoD compares (section IV-C).
  */
 final class LoadEstimator {
     /** An attempt without a response after this many times its forecast response time counts as additional load. */
@@ -11,18 +11,21 @@
 
     private final WorkEstimator work;
 
-    /** The load derived from an endpoint's last load report. */
+    /** The load derived from an endpoint's last load report, or the load limit if it was assumed to be full since. */
     static final class ReportedLoad {
         private int lostAttempts;
         private double remoteInFlight;
         private long reportedMicros = RateMath.NEVER_MICROS;
 
-        /** Returns the number of local attempts in flight that the endpoint did not hold. */
+        /** Returns the number of local attempts in flight that the endpoint did not hold at its last load report. */
         int lostAttempts() {
             return lostAttempts;
         }
 
-        /** Returns when the endpoint last reported its load or was last assumed to be full. */
+        /**
+         * Returns when the endpoint last reported its load or was last assumed to be full;
+         * {@link RateMath#NEVER_MICROS} if neither has happened.
+         */
         long reportedMicros() {
             return reportedMicros;
         }
@@ -45,7 +48,7 @@
         return localLoad(endpoint, nowMicros) + remoteLoad(endpoint, nowMicros) + stallLoad(endpoint, nowMicros);
     }
 
-    /** Returns the number of local attempts in flight, without those that were lost on the network. */
+    /** Returns the number of local attempts in flight, without those that are reported or presumed lost. */
     private static int localLoad(TrackedEndpoint endpoint, long nowMicros) {
         int lost = Math.max(endpoint.reportedLoad.lostAttempts, endpoint.attempts.presumedLostCount(nowMicros));
         return Math.max(0, endpoint.localInFlight() - lost);
@@ -62,7 +65,8 @@
 
     /**
      * Returns the additional load, in requests, that is assumed while a response is late. A late local attempt is the
-     * first sign that the endpoint is stalled.
+     * first sign that the endpoint is stalled. Returns 0 if the last load report showed lost attempts, because then the
+     * late attempt is probably one of them.
      */
     private static double stallLoad(TrackedEndpoint endpoint, long nowMicros) {
         Attempt oldest = endpoint.attempts.oldestNotOvertaken();
@@ -90,7 +94,10 @@
         reported.reportedMicros = nowMicros;
     }
 
-    /** Assumes at least the load limit, after a rejection or a health check reply without a load report. */
+    /**
+     * Assumes that the endpoint holds at least as many requests as its load limit. Called after a rejection and after a
+     * health check reply without a load report.
+     */
     void assumeFull(TrackedEndpoint endpoint, long nowMicros) {
         double fullLoad = Math.max(
                 load(endpoint, nowMicros), maxLoad(endpoint.machineType().cores()));
--- a/src/main/java/loadbalancer/decision/LoadReportHandler.java
+++ b/src/main/java/loadbalancer/decision/LoadReportHandler.java
@@ -1,6 +1,8 @@
 package loadbalancer.decision;
 
-/** Handles load reports from responses and health checks, and keeps the endpoint that reported in the current event. */
+/**
+ * Handles load reports from responses and health checks, and remembers which endpoint reported in the current event.
+ */
 final class LoadReportHandler {
     private final EndpointRegistry registry;
     private final LoadEstimator loads;
@@ -29,7 +31,10 @@
         return reportingEndpoint;
     }
 
-    /** Clears the endpoint that reported in the current event. Called at the end of each event. */
+    /**
+     * Clears the endpoint that reported in the current event. Called at the end of the events that can contain a load
+     * report, but not after the outcome of an attempt that has already ended while its request is still pending.
+     */
     void clearReportingEndpoint() {
         reportingEndpoint = null;
     }
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -5,7 +5,10 @@
  * below 1 is faster) and the number of cores. Together they determine the service rate in Eq. (4).
  */
 final class MachineTypeEstimate {
-    /** Number of responses beyond which the weight of the estimates no longer grows. */
+    /**
+     * Number of responses from which on the weight of the estimates in gossip no longer grows and the minimum speed
+     * factor no longer follows every change.
+     */
     private static final int MAX_RESPONSES = 40;
     /**
      * A speed factor without observations for this long decays towards its minimum, so that the type is tried again.
@@ -58,7 +61,7 @@
         return new GossipMessage.MachineTypeSample(speedFactor, cores, Math.min(MAX_RESPONSES, responses));
     }
 
-    /** Notes the time of an observation, that is, an attempt with or without a response that was learned from. */
+    /** Records the time of an observation: an attempt from which a speed was learned, with or without a response. */
     void recordObservation(long nowMicros) {
         lastObservationMicros = nowMicros;
     }
@@ -80,7 +83,7 @@
      * Moves the speed factor towards an observed one; the first responses have more weight.
      *
      * @param observedFactor the response time, relative to the time expected at speed factor 1
-     * @param gain weight of this response
+     * @param gain weight of this response, before the increase for the first responses
      * @param usualGain weight of a response whose time depends on the speed alone
      */
     void learnSpeed(double observedFactor, double gain, double usualGain) {
@@ -94,7 +97,10 @@
         cores = Math.max(1, cores * (1 - relativeStep));
     }
 
-    /** Learns the number of cores from a load report: the number of requests that run while others are queued. */
+    /**
+     * Learns the number of cores from a load report. Moves it towards the number of running requests if others are
+     * queued or if more requests are running than the estimated number of cores.
+     */
     void learnCores(LoadReport report) {
         double running = report.inFlight() - Math.max(0, report.queued());
         boolean saturated = report.queued() >= REPORT_TOLERANCE && running >= REPORT_TOLERANCE;
--- a/src/main/java/loadbalancer/decision/PolicySettings.java
+++ b/src/main/java/loadbalancer/decision/PolicySettings.java
@@ -12,7 +12,7 @@
 
 /** The current settings, and values derived from them by {@link #apply} once per change of the settings. */
 final class PolicySettings {
-    /** Number of sidecars that use each endpoint if connections have a price: enough to balance the total load. */
+    /** Average number of sidecars that use an endpoint if connections have a price: enough to balance the load. */
     static final int SIDECARS_PER_ENDPOINT = 10;
     /** Maximum price of two health checks per request at which load is sampled, as a fraction of the total value. */
     private static final double MAX_SAMPLING_PRICE = 0.005;
--- a/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
+++ b/src/main/java/loadbalancer/decision/PowerOfTwoSelector.java
@@ -44,11 +44,18 @@
         if (first == null) {
             return null;
         }
+        // The second draw must not return the first endpoint again. It may return the excluded one, which is then
+        // ignored.
         TrackedEndpoint second = draw(nowMicros, request, candidates, requirement, first);
         return second == null || second == excluded ? first : lessLoaded(nowMicros, first, second);
     }
 
-    /** Draws one endpoint that can take the request, by routing weight. Returns null if no candidate can take it. */
+    /**
+     * Draws one endpoint that can take the request, by routing weight.
+     *
+     * @param excluded an endpoint that must not be drawn, or null
+     * @return the drawn endpoint, or null if no candidate can take the request
+     */
     TrackedEndpoint draw(
             long nowMicros,
             PendingRequest request,
@@ -61,6 +68,7 @@
                 return endpoint;
             }
         }
+        // Weighted reservoir sampling of the candidates that can take the request.
         double weightSum = 0;
         TrackedEndpoint selected = null;
         for (int i = 0; i < candidates.size(); i++) {
--- a/src/main/java/loadbalancer/decision/RoutingRefresher.java
+++ b/src/main/java/loadbalancer/decision/RoutingRefresher.java
@@ -2,7 +2,7 @@
 
 /**
  * Updates the request rates, panic mode, the endpoint subset and the routing table if they are out of date, and writes
- * the regular log line of the estimates. Called before each decision.
+ * the regular log line of the estimates. Called before a request is admitted and before an endpoint is selected for it.
  */
 final class RoutingRefresher {
     /** Short compared with the seconds within which speeds and rates change. */
--- a/src/main/java/loadbalancer/decision/RoutingTable.java
+++ b/src/main/java/loadbalancer/decision/RoutingTable.java
@@ -13,8 +13,8 @@
  */
 final class RoutingTable {
     /**
-     * Routing weight of an endpoint to which Eq. (4) assigns no requests, relative to its service rate. It is greater
-     * than 0 so that the endpoint is drawn when all others are full.
+     * Minimum routing weight of an endpoint, relative to its service rate. It is greater than 0 so that an endpoint to
+     * which Eq. (4) assigns no requests is drawn when all others are full.
      */
     private static final double MIN_WEIGHT_RATIO = 1e-6;
 
@@ -173,18 +173,25 @@
 
     /**
      * Returns the lowest speed factor in the subset, where the speed factor of an endpoint in slow start is divided by
-     * its capacity ratio; 1 if no endpoint is ready.
+     * its capacity ratio; 1 if no endpoint is ready, {@link Double#MAX_VALUE} if endpoints are ready but the subset is
+     * empty.
      */
     double bestSpeedFactor() {
         return bestSpeedFactor;
     }
 
-    /** Returns the cores of all ready endpoints that are not ejected, each multiplied by its capacity ratio. */
+    /**
+     * Returns the number of cores of all ready endpoints that are not ejected, estimated from those in the subset. The
+     * cores of an endpoint in slow start are multiplied by its capacity ratio.
+     */
     double cores() {
         return cores;
     }
 
-    /** Returns the requests per second that all ready endpoints that are not ejected can serve together. */
+    /**
+     * Returns the requests per second that all ready endpoints that are not ejected can serve together, estimated from
+     * those in the subset.
+     */
     double capacityPerSecond() {
         return capacityPerSecond;
     }
--- a/src/main/java/loadbalancer/decision/SampledLoadSelector.java
+++ b/src/main/java/loadbalancer/decision/SampledLoadSelector.java
@@ -4,14 +4,23 @@
  * Selects an endpoint by sampled load, as HALO_PoD does (section IV-C). It draws a pair of endpoints, sends a health
  * check to each one whose load is not known, and lets the request wait for the load reports. The less loaded endpoint
  * is selected if it has a free core. After several pairs without a free core, an endpoint below its load limit is
- * sufficient. An endpoint that does not reply in time is not selected.
+ * sufficient. An endpoint that does not reply in time is not selected, unless no endpoint at all has reported since the
+ * pair was drawn.
  */
 final class SampledLoadSelector {
-    /** From this many pairs on, an endpoint below its load limit is selected even if it has no free core. */
-    private static final int MAX_PAIRS = 3;
-    /** Maximum wait for the replies of a pair: until the next sweep of the queue. */
+    /**
+     * From this many compared pairs on, an endpoint below its load limit is selected even if it has no free core, and
+     * each further pair is drawn only after a delay.
+     */
+    private static final int MIN_PAIRS_FOR_FALLBACK = 3;
+    /**
+     * Maximum wait for the replies of a pair, and first delay before a further pair: one sweep interval of the queue.
+     */
     private static final long WAIT_MICROS = RequestQueue.SWEEP_INTERVAL_MICROS;
-    /** Maximum number of times that the delay before the next pair doubles; it limits health checks in a long wait. */
+    /**
+     * Maximum number of times that the delay before the next pair doubles. The delay limits the number of health checks
+     * while a request waits long.
+     */
     private static final int MAX_DOUBLINGS = 2;
     /**
      * A load report is current as long as the other sidecars are expected to have sent the endpoint fewer requests than
@@ -35,8 +44,9 @@
         private TrackedEndpoint second;
 
         private long drawnMicros;
+        /** Earliest time at which another pair may be drawn. */
         private long nextPairMicros;
-        /** Number of pairs compared so far. */
+
         private int comparedPairs;
 
         /** Returns whether the request waits for the replies of a pair. */
@@ -84,6 +94,7 @@
     private TrackedEndpoint select(long nowMicros, PendingRequest request, TrackedEndpoint slowStartEndpoint) {
         Sampling sampling = request.sampling;
         TrackedEndpoint reporting = reportHandler.reportingEndpoint();
+        // After a pair without a suitable endpoint, any endpoint that has just reported a free core is selected.
         if (reporting != null && sampling.comparedPairs > 0 && hasFreeCore(nowMicros, request, reporting)) {
             sampling.first = null;
             return reporting;
@@ -102,14 +113,15 @@
             return lessLoaded(nowMicros, request, first, second);
         }
         sampling.comparedPairs++;
-        if (best != null && (sampling.comparedPairs >= MAX_PAIRS || hasFreeCore(nowMicros, request, best))) {
+        if (best != null
+                && (sampling.comparedPairs >= MIN_PAIRS_FOR_FALLBACK || hasFreeCore(nowMicros, request, best))) {
             return best;
         }
-        if (sampling.comparedPairs < MAX_PAIRS) {
+        if (sampling.comparedPairs < MIN_PAIRS_FOR_FALLBACK) {
             return select(nowMicros, request, slowStartEndpoint);
         }
         sampling.nextPairMicros =
-                nowMicros + (WAIT_MICROS << Math.min(sampling.comparedPairs - MAX_PAIRS, MAX_DOUBLINGS));
+                nowMicros + (WAIT_MICROS << Math.min(sampling.comparedPairs - MIN_PAIRS_FOR_FALLBACK, MAX_DOUBLINGS));
         return null;
     }
 
@@ -124,8 +136,8 @@
     }
 
     /**
-     * Draws a pair and checks the endpoints whose load is unknown, unless the request already has a pair. Returns
-     * whether the request has a pair now.
+     * Draws a pair and sends health checks to its endpoints whose load is unknown, unless the request already has a
+     * pair. Returns whether the request has a pair now.
      */
     private boolean ensurePair(long nowMicros, PendingRequest request, TrackedEndpoint slowStartEndpoint) {
         Sampling sampling = request.sampling;
@@ -170,9 +182,9 @@
             return true;
         }
         double remoteRatePerSecond = Math.max(0, rates.fleetPerSecond() - rates.localPerSecond());
-        double remoteRequestsPerEndpointMicro =
+        double remoteRequestsPerMicro =
                 remoteRatePerSecond / Math.max(1, registry.ready().size()) / RateMath.MICROS_PER_SECOND;
-        return (nowMicros - reportedMicros) * remoteRequestsPerEndpointMicro < MAX_UNREPORTED_REQUESTS;
+        return (nowMicros - reportedMicros) * remoteRequestsPerMicro < MAX_UNREPORTED_REQUESTS;
     }
 
     private boolean hasFreeCore(long nowMicros, PendingRequest request, TrackedEndpoint endpoint) {
--- a/src/main/java/loadbalancer/decision/SlowStartBudget.java
+++ b/src/main/java/loadbalancer/decision/SlowStartBudget.java
@@ -10,8 +10,10 @@
  * three slots, so the sidecars together may send a third of the window's budget in each slot, counted in requests of
  * mean work. The slot's budget is divided equally among the sidecars. In each slot, every sidecar has a turn: its
  * position in an order computed from the sidecar's index, the endpoint and the slot. The sidecars with the first turns
- * get the remainder of the division. If load is sampled, the turns start one after another within the slot, so that
- * each sidecar sees the effect of the previous one, and the budget of a slot is twice as large.
+ * get the remainder of the division. If load is not sampled and the budget has fewer requests than there are sidecars,
+ * the number of sidecars that may send is computed from the expected draws instead, because most sidecars do not draw
+ * the endpoint in the slot. If load is sampled, the turns start one after another within the slot, so that each sidecar
+ * sees the effect of the previous one, and the budget of a slot is twice as large.
  */
 final class SlowStartBudget {
     /** Fraction of the budget that is used; the rest is a safety margin because the work of requests is estimated. */
@@ -23,7 +25,10 @@
     private static final double SAMPLED_BUDGET_DIVISOR = 1.5;
     /** Length of the overload window whose slots (half a window each) last one second. */
     private static final double ONE_SECOND_SLOT_WINDOW_MICROS = 2 * RateMath.MICROS_PER_SECOND;
-    /** If load is sampled, the turns of a slot start within the length of the window divided by this. */
+    /**
+     * If load is sampled, the turns of the sidecars that may send start within the first part of the slot, whose length
+     * is that of the window divided by this.
+     */
     private static final int TURN_SPREAD_DIVISOR = 4;
 
     private final PolicySettings settings;
@@ -51,7 +56,13 @@
         this.routingTable = routingTable;
     }
 
-    /** Returns whether the budget allows sending a request with this work now; always true outside slow start. */
+    /**
+     * Returns whether the budget allows sending a request now; always true outside slow start. In slow start, a request
+     * with more than {@link WorkEstimator#MAX_MEAN_RATIO} times the mean work is never allowed. The first request that
+     * this sidecar sends in a slot may exceed its budget.
+     *
+     * @param workMicros expected work of the request, in microseconds of a standard core
+     */
     boolean allows(TrackedEndpoint endpoint, double workMicros, long nowMicros) {
         if (slowStart.capacityRatio(endpoint, nowMicros) >= 1) {
             return true;
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -1,15 +1,15 @@
 package loadbalancer.decision;
 
 /**
- * Predicts response times and learns from them. It learns the speed factor of a machine type, an endpoint's deviation
- * from that factor, the number of cores if endpoints send no load reports, and the work of request classes without cost
- * hints. The HALO paper assumes known speeds (section II); here they are estimated.
+ * Predicts response times, and learns from the observed ones. It learns the speed factor of a machine type, an
+ * endpoint's deviation from that factor, the number of cores if endpoints send no load reports, and the work of request
+ * classes without cost hints. The HALO paper assumes known speeds (section II); here they are estimated.
  */
 final class SpeedEstimator {
     /** Weight of one response in the speed estimates: about ten responses determine an endpoint's speed. */
     private static final double SPEED_GAIN = 0.1;
     /** Weight of one response in the estimates of cores and work; lower because a response says less about them. */
-    private static final double SLOW_GAIN = SPEED_GAIN / 4;
+    private static final double CORES_AND_WORK_GAIN = SPEED_GAIN / 4;
     /**
      * Upper bound of the ratio of observed to expected response time. It limits the effect of single responses, because
      * the work of requests has a long-tailed distribution.
@@ -17,7 +17,7 @@
     private static final double MAX_OBSERVED_RATIO = 3;
     /**
      * An endpoint that is slower or faster than its machine type by more than this factor forms a group of its own. The
-     * factor is greater than the random variation.
+     * factor is greater than the random variation of the estimates.
      */
     private static final double DEVIATION_RATIO = 1.6;
     /** A deviation without observations for this long decays towards 1, so that the endpoint is tried again. */
@@ -51,8 +51,10 @@
     }
 
     /**
-     * Returns the expected response time of a request with this work on an endpoint that holds {@code load} other
-     * requests and serves them in order of arrival.
+     * Returns the expected response time of a request on an endpoint that holds {@code load} other requests and serves
+     * them in order of arrival.
+     *
+     * @param workMicros expected work of the request, in microseconds of a standard core
      */
     double expectedResponseMicros(TrackedEndpoint endpoint, double workMicros, double load, long nowMicros) {
         return endpoint.speedFactor()
@@ -97,7 +99,8 @@
         endpoint.deviation.ratio *= 1 + gain * relativeError(endpoint, observedFactor);
         if (attempt.request().clientRequest().costHintMicros() <= 0) {
             work.adjustClass(
-                    attempt.request().requestClass().name(), SLOW_GAIN * relativeError(endpoint, observedFactor));
+                    attempt.request().requestClass().name(),
+                    CORES_AND_WORK_GAIN * relativeError(endpoint, observedFactor));
         }
     }
 
@@ -138,7 +141,8 @@
     /** Corrects the number of cores by the queued fraction of the error, because queueing time depends on the cores. */
     private static void learnCores(Attempt attempt, double observedFactor, double queuedFraction) {
         TrackedEndpoint endpoint = attempt.endpoint();
-        endpoint.machineType().adjustCores(SLOW_GAIN * queuedFraction * relativeError(endpoint, observedFactor));
+        endpoint.machineType()
+                .adjustCores(CORES_AND_WORK_GAIN * queuedFraction * relativeError(endpoint, observedFactor));
     }
 
     private static void recordObservation(TrackedEndpoint endpoint, long nowMicros) {
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -2,7 +2,7 @@
 
 /**
  * One endpoint: its entry in the endpoint list, its routing weight, and the state that other classes keep for it. Only
- * the class that declares a state type writes that state.
+ * the class that declares a state type writes that state, except for the resets in {@link #update}.
  */
 final class TrackedEndpoint {
     private final String id;
@@ -31,7 +31,7 @@
 
     /**
      * Replaces the list entry. If the endpoint has restarted, resets the deviation, failure history and connection
-     * state of the previous process.
+     * state of the previous process. Called only by {@link EndpointRegistry}.
      */
     void update(Endpoint newListEntry, int zoneIndex) {
         if (newListEntry.startedMicros() != listEntry.startedMicros()) {
@@ -45,12 +45,13 @@
         removed = newListEntry.state() == EndpointState.REMOVED;
     }
 
+    /** Marks an endpoint that the latest list does not contain. Called only by {@link EndpointRegistry}. */
     void markRemoved() {
         ready = false;
         removed = true;
     }
 
-    /** Sets the index of the endpoint's zone in new settings. */
+    /** Sets the index of the endpoint's zone in new settings. Called only by {@link EndpointRegistry}. */
     void setZoneIndex(int zoneIndex) {
         this.zoneIndex = zoneIndex;
     }
--- a/src/main/java/loadbalancer/decision/WeightedSampler.java
+++ b/src/main/java/loadbalancer/decision/WeightedSampler.java
@@ -35,7 +35,8 @@
     }
 
     /**
-     * Returns an endpoint, each with a probability proportional to its routing weight. The sampler must not be empty.
+     * Returns a random endpoint. The probability of each endpoint is proportional to its routing weight. The sampler
+     * must not be empty.
      *
      * @param uniform a random number in [0, 1)
      */
--- a/src/main/java/loadbalancer/decision/WorkEstimator.java
+++ b/src/main/java/loadbalancer/decision/WorkEstimator.java
@@ -14,7 +14,10 @@
     private static final double INITIAL_OBJECTIVE_DIVISOR = 4.0;
     /** Weight of one request in the mean. */
     private static final double MEAN_GAIN = 0.01;
-    /** Upper bound of a request's work relative to the mean, because the work has a long-tailed distribution. */
+    /**
+     * Upper bound, relative to the mean, of the work with which a request counts toward the mean. It limits the effect
+     * of single requests, because the work has a long-tailed distribution.
+     */
     static final double MAX_MEAN_RATIO = 3;
 
     private final Map<String, Double> classWorkMicros = new HashMap<>();
@@ -34,6 +37,10 @@
         }
     }
 
+    /**
+     * Returns the expected work of the request, in microseconds of a standard core. Its request class must have been
+     * added.
+     */
     double workMicros(Request request) {
         return request.costHintMicros() > 0
                 ? request.costHintMicros()
--- a/src/main/java/loadbalancer/decision/ZoneTrafficSplit.java
+++ b/src/main/java/loadbalancer/decision/ZoneTrafficSplit.java
@@ -3,10 +3,10 @@
 /**
  * Decides how this sidecar's requests are split over the zones, as one fraction for each zone.
  *
- * <p>If crossing zones has no price, or if local requests represent the load of the endpoints well, the fractions are
- * proportional to the zones' numbers of ready endpoints. Otherwise requests leave the local zone only if the zone's
- * sidecars together receive more than the zone's fraction of the fleet's request rate, and then only the excess does;
- * without gossip, all requests stay in the local zone.
+ * <p>If crossing zones costs little, or if local requests represent the load of the endpoints well, the fractions are
+ * proportional to the zones' numbers of ready endpoints. Otherwise requests leave the local zone only if its sidecars
+ * receive a larger fraction of the fleet's request rate than the zone has of the ready endpoints, and then only the
+ * excess leaves. Without live peers, all requests stay in the local zone.
  */
 final class ZoneTrafficSplit {
     private final PolicySettings settings;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Sends only the local zone's excess to the other zones, in proportion to the spare capacity of each. */
+    /** Assigns only the local zone's excess to the other zones, in proportion to the spare capacity of each. */
     private void preferLocalZone() {
         int localZoneIndex = settings.localZoneIndex();
         double meanRatePerSecond = gossip.livePeers() > 0 ? gossip.meanRatePerSecond() : 0;
--- a/src/main/java/loadbalancer/decision/package-info.java
+++ b/src/main/java/loadbalancer/decision/package-info.java
@@ -6,11 +6,12 @@
  *
  * <p>{@link loadbalancer.decision.LoadBalancer} is the interface for events,
  * {@link loadbalancer.decision.LoadBalancerActions} the interface for actions.
- * {@link loadbalancer.decision.LoadBalancingPolicy} passes each event to the classes that decide on it; these classes
- * are created and connected in {@code Estimators}, {@code RoutingComponents} and {@code RequestComponents}.
+ * {@link loadbalancer.decision.LoadBalancingPolicy} passes each event to the classes that decide on it. It creates
+ * these classes, most of them through {@code Estimators}, {@code RoutingComponents} and {@code RequestComponents}.
  *
- * <p>If a class keeps state for each endpoint, the state is a class nested in it, so that no other class can write it.
- * The remaining fields of an endpoint or a request have setters whose comments name the only class that calls them.
+ * <p>A class that keeps state for each endpoint or request declares this state as a nested class with private fields,
+ * so that no other class can set the fields; {@code TrackedEndpoint} resets some states when an endpoint restarts. The
+ * remaining fields of an endpoint or a request have setters whose comments name the only class that calls them.
  *
  * <p>Names ending in {@code Micros} are times in microseconds, names ending in {@code Ratio} or {@code Gain} are
  * dimensionless, and names ending in {@code PerSecond} or {@code Rate} are in requests per second.
--- a/src/test/java/loadbalancer/decision/PolicyFixture.java
+++ b/src/test/java/loadbalancer/decision/PolicyFixture.java
@@ -350,6 +350,7 @@
         return policy.endpoints.size();
     }
 
+    /** Sets the routing weight, which remains until the routing table is solved again. */
     void setRoutingWeight(String endpointId, double weight) {
         policy.endpoints.find(endpointId).setRoutingWeight(weight);
     }
--- a/src/test/java/loadbalancer/decision/PowerOfTwoSelectorTest.java
+++ b/src/test/java/loadbalancer/decision/PowerOfTwoSelectorTest.java
@@ -43,6 +43,7 @@
         PolicyFixture fixture =
                 new PolicyFixture().start().receiveFullSnapshot(A, B).request("first");
         fixture.outcome("first", 0, fixture.endpointOf("first", 0), AttemptOutcome.OK, 75_000);
+        // The clock does not advance, so the routing table is not solved again and the weights remain.
         fixture.setRoutingWeight("a", 0.75);
         fixture.setRoutingWeight("b", 0.25);
         int sentToA = 0;
--- a/src/test/java/loadbalancer/decision/SampledLoadSelectorTest.java
+++ b/src/test/java/loadbalancer/decision/SampledLoadSelectorTest.java
@@ -47,9 +47,7 @@
         assertEquals("b", fixture.endpointOf("r", 0));
     }
 
-    /**
-     * A sidecar that is alone knows the load of its endpoints, so a health check would only add latency and its price.
-     */
+    /** The only sidecar knows the load of its endpoints, so a health check would only add latency and cost. */
     @Test
     void skipsHealthChecksIfNoOtherSidecarChangesLoad() {
         PolicyFixture fixture = new PolicyFixture();
--- a/src/test/java/loadbalancer/decision/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/decision/SettingsReloadTest.java
@@ -34,6 +34,8 @@
         }
         assertEquals(2, fixture.attemptCount("new"), "the new class is idempotent and allows two attempts");
         assertEquals(1, fixture.failureCount("new"));
+        // The new settings have 30 sidecars, so gossip from the index 29 must be accepted and no higher index
+        // addressed.
         fixture.receiveGossip(29, 3, 0);
         fixture.advanceMicros(1_000_000).fireTimer(GOSSIP_TIMER);
         assertTrue(fixture.gossipTargets().stream().allMatch(target -> target < 30));
--- a/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
@@ -50,8 +50,8 @@
                 fixture.advanceMicros(1_000).outcome("r" + i, 0, "a", AttemptOutcome.OK, 10_000);
             }
         }
-        // Each request takes 10 ms. In 1.1 s the budget is 3 times the capacity, which is at most 0.17 of two
-        // cores (the initial estimate); this sidecar gets half of the budget.
+        // Each request takes 10 ms. In 1.1 s the budget is 3 times the capacity, which is at most 0.17 of the cores;
+        // this sidecar gets half of the budget. The bound allows for two cores, though the estimate is one core.
         assertTrue(sent >= 1 && sent * 10_000 <= 3 * 0.17 * 2 * 1_100_000 / 2, "requests sent: " + sent);
     }
 
@@ -80,8 +80,8 @@
     }
 
     /**
-     * With health checks, more sidecars may send in each slot: all of them wait for a free core at the same time, and
-     * only load reports delay them.
+     * With health checks, the budget of a slot is larger. All sidecars wait for a free core at the same time, and only
+     * the staggered turns and the load reports keep them from sending at once.
      */
     @Test
     void keepsManySidecarsWithHealthChecksWithinBudget() {
@@ -169,7 +169,7 @@
                         end - first + " requests in one window exceed the budget of " + budget);
             }
         }
-        // 20 endpoints serve 0.13 to 0.42 of 20 requests per second for 8 s: 880 requests at full utilization.
+        // 20 endpoints each serve 0.13 to 0.42 of 20 requests per second for 8 s: 880 requests at full utilization.
         assertTrue(served > 220, served + " requests were sent to endpoints in slow start");
     }
 
