--- a/src/main/java/loadbalancer/decision/SlowStart.java
+++ b/src/main/java/loadbalancer/decision/SlowStart.java
@@ -2,7 +2,10 @@
 
 import loadbalancer.settings.EndpointRules;
 
-/** Computes the minimum capacity of an endpoint after its start: the slowest ramp that the rules allow. */
+/**
+ * Computes the capacity that an endpoint in slow start is assumed to have: the lowest that {@link EndpointRules} allows
+ * at the time.
+ */
 final class SlowStart {
     private final PolicySettings settings;
 
--- a/src/main/java/loadbalancer/decision/SpeedEstimator.java
+++ b/src/main/java/loadbalancer/decision/SpeedEstimator.java
@@ -90,6 +90,7 @@
         if (!settings.hasLoadReports() && slowStart.capacityRatio(endpoint, nowMicros) >= 1) {
             double queuedFraction = queuedFraction(attempt);
             learnCores(attempt, observedFactor, queuedFraction);
+            // The queued fraction of the error is attributed to the cores, only the rest to the speed.
             gain *= 1 - queuedFraction;
         }
         recordObservation(endpoint, nowMicros);
