--- a/src/main/java/loadbalancer/decision/AdmissionControl.java
+++ b/src/main/java/loadbalancer/decision/AdmissionControl.java
@@ -9,9 +9,9 @@
  * moment.
  */
 final class AdmissionControl {
-    /** No request is shed while the expected wait is below this fraction of the latency objective. */
+    /** No request is shed while the expected wait is at most this fraction of the wait limit. */
     private static final double SHED_NONE_RATIO = 0.25;
-    /** Every request is shed when the expected wait exceeds this fraction of the latency objective. */
+    /** Every request is shed when the expected wait is at least this fraction of the wait limit. */
     private static final double SHED_ALL_RATIO = 0.75;
 
     private final PolicySettings settings;
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Returns whether to shed the request; always false if the fleet's capacity is 0. Compares the expected wait with
-     * the shortest latency objective of the classes of the highest priority, multiplied by the square root of the
-     * request's relative priority. Draws a random number unless the capacity is 0.
+     * Returns whether to shed the request; always false if the fleet's capacity is 0. Compares the expected wait for a
+     * free core with the request's wait limit: the shortest latency objective of the classes of the highest priority,
+     * multiplied by the square root of the request's relative priority. Draws a random number unless the capacity is 0.
      */
     boolean shouldShed(long nowMicros, PendingRequest request) {
         double capacity = routingTable.capacityPerSecond();
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -9,11 +9,11 @@
  * does not hold it.
  */
 final class Attempt {
-    /** An attempt is overdue after this many times its forecast time, because its endpoint may have stalled. */
+    /** An attempt is overdue after this many times its forecast response time: its endpoint may have stalled. */
     static final double OVERDUE_RATIO = 1.5;
     /**
-     * An overtaken attempt is presumed lost after this many times its forecast time. An endpoint counts as responding
-     * if its last response is not older than that.
+     * An overtaken attempt is presumed lost after this many times its forecast response time. An endpoint counts as
+     * responding if its last response is less than that time ago.
      */
     private static final double PRESUMED_LOST_RATIO = 6;
 
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Sets whether a load report showed that the endpoint does not hold the attempt. Called by {@link HedgingPolicy}
-     * alone.
+     * Sets whether a load report showed that the endpoint does not hold the attempt. Called only by
+     * {@link HedgingPolicy}.
      */
     void setReportedLost(boolean reportedLost) {
         this.reportedLost = reportedLost;
@@ -95,7 +95,7 @@
 
     /**
      * Returns whether the endpoint has responded to an attempt sent later. If so, the endpoint works and should have
-     * served this attempt before.
+     * responded to this attempt first.
      */
     boolean isOvertaken() {
         return endpoint.attempts.hasRespondedToAttemptSentAfter(sentMicros);
@@ -109,14 +109,14 @@
         return isOvertaken() && nowMicros - sentMicros > PRESUMED_LOST_RATIO * forecast.responseMicros();
     }
 
-    /** Returns whether a timeout of this attempt would be a failure of the connection rather than of the endpoint. */
+    /** Returns whether the attempt is lost. Its timeout is then attributed to the connection, not to the endpoint. */
     boolean isLost(long nowMicros) {
         return reportedLost || isPresumedLost(nowMicros);
     }
 
     /**
-     * Returns whether the endpoint has responded to another attempt recently: within a few times the forecast time of
-     * this attempt.
+     * Returns whether the endpoint has responded to another attempt recently: within {@link #PRESUMED_LOST_RATIO} times
+     * the forecast response time of this attempt.
      */
     boolean isEndpointResponding(long nowMicros) {
         return nowMicros - endpoint.attempts.lastResponseMicros() < PRESUMED_LOST_RATIO * forecast.responseMicros();
--- a/src/main/java/loadbalancer/decision/AttemptEligibility.java
+++ b/src/main/java/loadbalancer/decision/AttemptEligibility.java
@@ -4,7 +4,7 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * The rules on which requests may be sent, retried and rejected. Every send, including the first one of a request, and
+ * The rules for when a request may be sent, retried and rejected. Every send, including the first one of a request, and
  * every rejection is checked here. A request that an endpoint may have executed is sent again only if executing it
  * twice has no further effect. It is never rejected, because a rejection promises that no endpoint has executed the
  * request.
--- a/src/main/java/loadbalancer/decision/AttemptForecast.java
+++ b/src/main/java/loadbalancer/decision/AttemptForecast.java
@@ -1,7 +1,7 @@
 package loadbalancer.decision;
 
 /**
- * The estimates for an attempt, made when it is sent.
+ * The expected load and response time of an attempt, estimated when it is sent.
  *
  * @param load requests that the endpoint held before this attempt
  * @param responseMicros expected time until the response, at the endpoint's speed factor
--- a/src/main/java/loadbalancer/decision/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcome.java
@@ -10,7 +10,7 @@
     REJECTED(false),
     /** The endpoint did not respond before the deadline of the attempt. */
     TIMEOUT(true),
-    /** No connection to the endpoint could be opened. */
+    /** No connection to the endpoint could be opened, or it broke before the request was written. */
     CONNECT_FAILED(false),
     /** The connection broke while the attempt was in flight. */
     RESET(true),
@@ -23,7 +23,7 @@
     /** The request itself is invalid; this says nothing about the endpoint. */
     INVALID_REQUEST(true);
 
-    /** False if this outcome proves that the endpoint has done nothing for the attempt. */
+    /** Whether the endpoint may have executed the request; false only if this outcome proves that it has not. */
     public final boolean mayHaveRun;
 
     AttemptOutcome(boolean mayHaveRun) {
--- a/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
@@ -30,6 +30,7 @@
         this.scheduler = scheduler;
     }
 
+    /** Handles the outcome. If the attempt is not in flight, only the load report is used. */
     void onOutcome(long nowMicros, AttemptResult result) {
         reportHandler.onReport(result.endpointId(), result.loadReport(), nowMicros);
         PendingRequest request = requests.find(result.requestId());
--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -4,7 +4,8 @@
 
 /**
  * Decides when discovery is polled for the endpoint list: at the start, and again after each failed call, with
- * exponential backoff and jitter, until a list arrives. Does nothing if lists are pushed.
+ * exponential backoff and jitter, until a list arrives. From then on, the host keeps the list up to date until it
+ * reports a failed call. Does nothing if lists are pushed.
  */
 final class DiscoveryPoller {
     private static final long FIRST_DELAY_MICROS = 500_000;
--- a/src/main/java/loadbalancer/decision/GossipMessage.java
+++ b/src/main/java/loadbalancer/decision/GossipMessage.java
@@ -24,10 +24,10 @@
 
     private static final int MAX_SHORT = 65_535;
     private static final int MAX_BYTE = 255;
-    /** Rates are encoded in eighths of a request per second. */
-    private static final double RATE_UNITS_PER_REQUEST = 8.0;
+    /** Rates are encoded in units of 1/8 request per second. */
+    private static final double RATE_SCALE = 8.0;
     /** Speed factors and numbers of cores are encoded in units of 1/256. */
-    private static final double SAMPLE_UNITS_PER_ONE = 256.0;
+    private static final double SAMPLE_SCALE = 256.0;
 
     private static final double MICROS_PER_MILLI = 1_000.0;
     /** Encoded length of the zone, the rate, the requests in flight and the idle limit. */
@@ -45,11 +45,11 @@
     byte[] encode() {
         ByteBuffer buffer = ByteBuffer.allocate(encodedLength(machineTypes.size()));
         buffer.put((byte) Math.min(MAX_BYTE, zoneIndex));
-        buffer.putShort(toUnsignedShort(ratePerSecond * RATE_UNITS_PER_REQUEST));
+        buffer.putShort(toUnsignedShort(ratePerSecond * RATE_SCALE));
         buffer.putShort(toUnsignedShort(inFlight));
         for (MachineTypeSample sample : machineTypes) {
-            buffer.putShort(toUnsignedShort(sample.speedFactor() * SAMPLE_UNITS_PER_ONE));
-            buffer.putShort(toUnsignedShort(sample.cores() * SAMPLE_UNITS_PER_ONE));
+            buffer.putShort(toUnsignedShort(sample.speedFactor() * SAMPLE_SCALE));
+            buffer.putShort(toUnsignedShort(sample.cores() * SAMPLE_SCALE));
             buffer.put((byte) Math.min(MAX_BYTE, sample.responses()));
         }
         buffer.putShort(toUnsignedShort(idleLimitMicros / MICROS_PER_MILLI));
@@ -68,12 +68,12 @@
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         int zoneIndex = Byte.toUnsignedInt(buffer.get());
-        double ratePerSecond = readUnsignedShort(buffer) / RATE_UNITS_PER_REQUEST;
+        double ratePerSecond = readUnsignedShort(buffer) / RATE_SCALE;
         double inFlight = readUnsignedShort(buffer);
         List<MachineTypeSample> machineTypes = new ArrayList<>(machineTypeCount);
         for (int i = 0; i < machineTypeCount; i++) {
-            double speedFactor = readUnsignedShort(buffer) / SAMPLE_UNITS_PER_ONE;
-            double cores = readUnsignedShort(buffer) / SAMPLE_UNITS_PER_ONE;
+            double speedFactor = readUnsignedShort(buffer) / SAMPLE_SCALE;
+            double cores = readUnsignedShort(buffer) / SAMPLE_SCALE;
             machineTypes.add(new MachineTypeSample(speedFactor, cores, Byte.toUnsignedInt(buffer.get())));
         }
         long idleLimitMicros = readUnsignedShort(buffer) * (long) MICROS_PER_MILLI;
--- a/src/main/java/loadbalancer/decision/GossipSender.java
+++ b/src/main/java/loadbalancer/decision/GossipSender.java
@@ -6,16 +6,16 @@
 
 /**
  * Sends this sidecar's estimates to the other sidecars at regular intervals: to all of them if that costs little,
- * otherwise to some chosen at random. Some are enough, because the receivers compute means over a sample of the
- * sidecars.
+ * otherwise to a few chosen at random. A few are enough, because each receiver takes the mean over the sidecars that it
+ * has heard from recently.
  */
 final class GossipSender {
     private static final long INTERVAL_MICROS = 500_000;
     /** Fraction of the service's total value that gossip may cost. */
     private static final double MAX_TOTAL_PRICE = 0.002;
-    /** The price of gossip in the settings is that of this many delivered bytes per request. */
+    /** The price of gossip in the settings is the price of this many delivered bytes per request. */
     private static final int PRICED_BYTES = 256;
-    /** Most messages to single sidecars in one interval. */
+    /** Maximum number of messages in one interval if they are sent to single sidecars. */
     private static final int MAX_SINGLE_MESSAGES = 16;
 
     private final PolicySettings settings;
@@ -80,12 +80,12 @@
                 rates.localPerSecond(),
                 fleetLoad.localInFlight(nowMicros),
                 samples,
-                idleConnections.locallyObservedLimitMicros(nowMicros));
+                idleConnections.limitForGossipMicros(nowMicros));
     }
 
     /**
-     * Returns how many messages this sidecar may send in an interval without exceeding its price limit. Every sidecar
-     * gets an equal fraction of the fleet's budget.
+     * Returns how many messages this sidecar may send in an interval without exceeding its budget, which is an equal
+     * fraction of the fleet's budget for gossip.
      */
     private double affordableMessages(int bytes) {
         double price = settings.prices().gossip() * bytes / PRICED_BYTES;
--- a/src/main/java/loadbalancer/decision/GossipState.java
+++ b/src/main/java/loadbalancer/decision/GossipState.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The last gossip of each sidecar, and a summary of it: the sum of the live peers' requests in flight and the mean
- * request rate of a sidecar by zone. A peer is live if its last gossip is at most 5 s old; an older one is ignored,
- * because the sender may have stopped.
+ * The last gossip of each sidecar, and a summary of it: the sum of the live peers' requests in flight, and the mean
+ * request rate per sidecar, in total and by zone. A peer is live if its last gossip is at most 5 s old; an older one is
+ * ignored, because the sender may have stopped.
  */
 final class GossipState {
     private static final long PEER_LIVE_MICROS = 5_000_000;
--- a/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Handles the outcome of one health check.
+     * Handles the outcome of one health check. Ignores it if the endpoint is unknown.
      *
      * @param report the load report in the reply, or null if there was none
      */
--- a/src/main/java/loadbalancer/decision/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgingPolicy.java
@@ -44,7 +44,11 @@
         budget = Math.min(MAX_BUDGET, budget + BUDGET_RATIO);
     }
 
-    /** Handles an overdue attempt by sending a health check to its endpoint. */
+    /**
+     * Handles an overdue attempt by sending a health check to its endpoint.
+     *
+     * @param request the request of the attempt, or null if it is no longer pending
+     */
     void onAttemptOverdue(long nowMicros, PendingRequest request) {
         Attempt attempt = hedgeableAttempt(nowMicros, request);
         if (attempt == null || attempt.endpoint().isRemoved()) {
@@ -57,7 +61,10 @@
 
     /**
      * Handles the end of the wait for the health check that {@link #onAttemptOverdue} sent. Sends a second attempt if
-     * the endpoint has not replied or does not hold the request; otherwise restarts the timer of the first attempt.
+     * the endpoint has not replied or does not hold the request, the budget allows it and another endpoint has a free
+     * core. If the endpoint holds the request, restarts the timer of the first attempt.
+     *
+     * @param request the request of the attempt, or null if it is no longer pending
      */
     void onHealthCheckDue(long nowMicros, PendingRequest request) {
         Attempt attempt = hedgeableAttempt(nowMicros, request);
--- a/src/main/java/loadbalancer/decision/IdleConnectionPolicy.java
+++ b/src/main/java/loadbalancer/decision/IdleConnectionPolicy.java
@@ -3,9 +3,10 @@
 /**
  * Decides when idle connections to an endpoint are closed: when the endpoint drains, and before a send if they have
  * been idle for longer than the network seems to keep idle connections open. A failure on a connection that was idle
- * for long is attributed to the connection, not to the endpoint, and sets an idle limit. Connections that were idle for
- * longer than the limit are closed before use. The limit is raised, and finally removed, if no such failure is seen for
- * a while.
+ * for long is attributed to the connection, not to the endpoint, and sets an idle limit; this is done only if the
+ * sidecar uses a subset of the endpoints. An idle limit that another sidecar sends in gossip is always applied.
+ * Connections that were idle for at least the limit are closed before use. The limit is raised, and finally removed, if
+ * no such failure is seen for a while.
  */
 final class IdleConnectionPolicy {
     /** Lowest idle limit. A connection that was idle for less is not suspected of having been dropped. */
@@ -13,16 +14,16 @@
 
     /** The idle limit is doubled when no failure has confirmed it for this long. */
     private static final long LIMIT_VALID_MICROS = 5_000_000;
-    /** For this long after a connection has worked despite being idle, others are assumed to be kept open as well. */
+    /** When a connection has worked after an idle time, the network is assumed for this long to keep such ones open. */
     private static final long KEPT_OPEN_VALID_MICROS = 3_000_000;
 
     private final PolicySettings settings;
     private final LoadBalancerActions actions;
-    /** The idle limit: a connection idle for at least this long is closed before use; the maximum value is no limit. */
+    /** A connection that was idle for at least this long is closed before use; the maximum value means no limit. */
     private long limitMicros = Long.MAX_VALUE;
 
     private long limitSetMicros;
-    /** Longest idle time after which a connection has recently worked. */
+    /** Longest idle time after which a connection has recently worked; 0 if none is known. */
     private long keptOpenIdleMicros;
     /** When a connection last worked after {@link #keptOpenIdleMicros}. */
     private long keptOpenSeenMicros;
@@ -83,7 +84,8 @@
     /**
      * Updates the idle limit from the outcome of an attempt.
      *
-     * @return whether the outcome is a failure that is attributed to the connection and not to the endpoint
+     * @return whether the outcome is a failure that is attributed to the connection and not to the endpoint; always
+     *     false if the sidecar uses all endpoints
      */
     boolean recordOutcome(long nowMicros, Attempt attempt, AttemptOutcome outcome) {
         relaxLimit(nowMicros);
@@ -124,7 +126,7 @@
 
     /**
      * Doubles the idle limit if no failure has confirmed it for a while; removes it if it already exceeds the idle
-     * timeout.
+     * timeout of the settings.
      */
     private void relaxLimit(long nowMicros) {
         if (limitMicros == Long.MAX_VALUE || nowMicros - limitSetMicros <= LIMIT_VALID_MICROS) {
@@ -148,6 +150,7 @@
         return limitMicros < Long.MAX_VALUE;
     }
 
+    /** Returns the idle limit; {@link Long#MAX_VALUE} if there is none. */
     long limitMicros() {
         return limitMicros;
     }
@@ -156,7 +159,7 @@
      * Returns the idle limit to send in gossip; 0 if this sidecar has not seen a failure recently, because a limit that
      * sidecars only passed on to one another would never expire.
      */
-    long locallyObservedLimitMicros(long nowMicros) {
+    long limitForGossipMicros(long nowMicros) {
         return nowMicros - localFailureMicros < LIMIT_VALID_MICROS ? limitMicros : 0;
     }
 }
--- a/src/main/java/loadbalancer/decision/LoadBalancerActions.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancerActions.java
@@ -8,17 +8,20 @@
     /** Index that stands for all other sidecars in {@link #sendGossip}. */
     int ALL_SIDECARS = -1;
 
-    /** Forwards the request to the endpoint; the attempt times out at {@code deadlineMicros}. */
+    /**
+     * Forwards the request to the endpoint; the attempt times out at {@code deadlineMicros}. The attempts of a request
+     * are numbered from 0 in the order of these calls.
+     */
     void sendAttempt(String requestId, String endpointId, long deadlineMicros);
 
     /**
-     * Sends the final response of a request that no endpoint has executed.
+     * Sends a rejection as the final response of a request that no endpoint has executed.
      *
-     * @param retryAfterMicros time after which the client should retry; 0 if the response gives no time
+     * @param retryAfterMicros time after which the client should retry; 0 if the response states no time
      */
     void reject(String requestId, long retryAfterMicros);
 
-    /** Sends the final response of a request that has failed and that an endpoint may have executed. */
+    /** Sends a failure as the final response of a request that an endpoint may have executed. */
     void fail(String requestId);
 
     /** Cancels an attempt in flight; no rule uses it yet. */
--- a/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
+++ b/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
@@ -71,8 +71,9 @@
     }
 
     /**
-     * Records a rejection. An endpoint that rejects although it has free cores, and that responds to no other attempt,
-     * is shutting down or broken, so it is ejected for longer. In any case the endpoint is assumed to be full.
+     * Handles a rejection. If the endpoint responds to other attempts, the rejection counts as little as a failure of
+     * the connection. If it does not, and this sidecar alone can't have filled its cores, it is shutting down or broken
+     * and is ejected for longer. In any case the endpoint is assumed to be full.
      */
     private void evaluateRejection(long nowMicros, Attempt attempt) {
         TrackedEndpoint endpoint = attempt.endpoint();
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -19,7 +19,7 @@
 
     private static final long BASE_EJECTION_MICROS = 500_000;
     private static final long MAX_EJECTION_MICROS = 8_000_000;
-    /** Limits the left shift of the base ejection time. */
+    /** Upper limit of the left shift of the base ejection time, so that it does not overflow. */
     private static final int MAX_DOUBLINGS = 10;
     /** After a persistent failure, an ejection lasts at least as long as if this many ejections had preceded it. */
     private static final int PERSISTENT_FAILURE_MIN_EJECTIONS = 2;
--- a/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
+++ b/src/main/java/loadbalancer/decision/OverdueAttemptTimer.java
@@ -2,7 +2,10 @@
 
 /** Starts the timers after which {@link HedgingPolicy} checks an attempt that is still in flight. */
 final class OverdueAttemptTimer {
-    /** An endpoint that has replied to a health check is checked again after this fraction of the forecast time. */
+    /**
+     * An endpoint that still holds an overdue attempt is checked again after this fraction of the attempt's forecast
+     * response time.
+     */
     private static final double RECHECK_RATIO = 0.5;
 
     private final PolicySettings settings;
@@ -27,6 +30,9 @@
         startTimer(attempt, RECHECK_RATIO);
     }
 
+    /**
+     * Starts the timer with the forecast response time multiplied by {@code forecastRatio}, at least a sweep interval.
+     */
     private void startTimer(Attempt attempt, double forecastRatio) {
         long delayMicros = (long) (forecastRatio * attempt.forecast().responseMicros());
         String name = TimerNames.ATTEMPT_OVERDUE + attempt.request().id();
--- a/src/main/java/loadbalancer/decision/PendingRequest.java
+++ b/src/main/java/loadbalancer/decision/PendingRequest.java
@@ -32,7 +32,7 @@
         deadlineMicros = nowMicros + request.remainingMicros();
         long objectiveMicros =
                 (long) (requestClass.latencyObjectiveMicros() + requestClass.latencyObjectiveWorkRatio() * workMicros);
-        long usefulMicros = requestClass.lateWeight() > 0 ? request.remainingMicros() : objectiveMicros;
+        long usefulMicros = requestClass.lateWeightRatio() > 0 ? request.remainingMicros() : objectiveMicros;
         usefulUntilMicros = Math.min(deadlineMicros, nowMicros + usefulMicros);
         double delayRatio = (1 - relativePriority) / 2 + (request.retry() ? 1 : 0);
         queueOrderMicros = nowMicros + objectiveMicros + (long) (delayRatio * objectiveMicros);
@@ -116,17 +116,17 @@
         return finished;
     }
 
-    /** Called by {@link RequestTracker} alone. */
+    /** Called only by {@link RequestTracker}. */
     void markFinished() {
         finished = true;
     }
 
-    /** Returns whether the first bytes of its response have been forwarded to the client. */
+    /** Returns whether the start of the response has been forwarded to the client. */
     boolean isStreaming() {
         return streaming;
     }
 
-    /** Called by {@link RequestTracker} alone. */
+    /** Called only by {@link RequestTracker}. */
     void markStreaming() {
         streaming = true;
     }
@@ -135,7 +135,7 @@
         return queued;
     }
 
-    /** Called by {@link RequestQueue} alone. */
+    /** Called only by {@link RequestQueue}. */
     void setQueued(boolean queued) {
         this.queued = queued;
     }
@@ -145,7 +145,7 @@
         return overdueCheckMicros;
     }
 
-    /** Called by {@link HedgingPolicy} alone. */
+    /** Called only by {@link HedgingPolicy}. */
     void setOverdueCheckMicros(long nowMicros) {
         overdueCheckMicros = nowMicros;
     }
--- a/src/main/java/loadbalancer/decision/RequestQueue.java
+++ b/src/main/java/loadbalancer/decision/RequestQueue.java
@@ -8,7 +8,10 @@
  * the timer for the sweeps of this queue.
  */
 final class RequestQueue {
-    /** Interval of the sweeps, which reject or fail before their deadline the requests that find no endpoint. */
+    /**
+     * Interval between two sweeps of the queue. A sweep rejects or fails requests that find no endpoint, before their
+     * deadline.
+     */
     static final long SWEEP_INTERVAL_MICROS = 5_000;
     /** Time reserved for the attempt of a queued request, as a multiple of its service time at the fastest endpoint. */
     private static final double RESERVED_TIME_RATIO = 1.5;
@@ -26,23 +29,25 @@
     }
 
     /**
-     * Returns the time before which the request must be sent for a useful response to be expected. From this time on,
-     * the request is rejected or failed.
+     * Returns the time until which the request may wait in the queue. From this time on, it is rejected or failed if it
+     * finds no endpoint, because a response could no longer be expected while it is useful, or because the next sweep
+     * might come after the deadline.
      */
-    long latestSendMicros(PendingRequest request) {
+    long mayWaitUntilMicros(PendingRequest request) {
         // No time is reserved while the request waits for the load reports of its two drawn endpoints.
         double reservedMicros = request.sampling.isInProgress()
                 ? 0
                 : RESERVED_TIME_RATIO * routingTable.bestSpeedFactor() * request.workMicros();
-        long latestForUsefulResponseMicros = (long) (request.usefulUntilMicros() - reservedMicros);
-        long latestForSweepMicros = request.deadlineMicros()
+        long usefulResponseUntilMicros = (long) (request.usefulUntilMicros() - reservedMicros);
+        long timelySweepUntilMicros = request.deadlineMicros()
                 - SWEEP_INTERVAL_MICROS
                 - 2 * settings.current().clockTickMicros();
-        return Math.min(latestForSweepMicros, latestForUsefulResponseMicros);
+        return Math.min(timelySweepUntilMicros, usefulResponseUntilMicros);
     }
 
     /**
-     * Inserts a request in the order of {@link PendingRequest#queueOrderMicros}, behind requests with the same value.
+     * Inserts a request in the order of {@link PendingRequest#queueOrderMicros}, behind requests with the same value,
+     * and starts the sweep timer.
      */
     void add(PendingRequest request) {
         request.setQueued(true);
--- a/src/main/java/loadbalancer/decision/RequestScheduler.java
+++ b/src/main/java/loadbalancer/decision/RequestScheduler.java
@@ -29,7 +29,7 @@
 
     /**
      * Sends an admitted request, or queues it if no endpoint can take it. It is also queued if other requests are
-     * already waiting, unless loads are sampled.
+     * already waiting, unless load is sampled. Instead of being queued, it is rejected if too little time is left.
      */
     void schedule(long nowMicros, PendingRequest request) {
         boolean mayBypassQueue = queue.isEmpty() || settings.samplesLoad();
@@ -50,7 +50,7 @@
         if (request.hasAttemptInFlight()) {
             return;
         }
-        boolean inTime = nowMicros < queue.latestSendMicros(request);
+        boolean inTime = nowMicros < queue.mayWaitUntilMicros(request);
         TrackedEndpoint endpoint = inTime ? selector.select(nowMicros, request) : null;
         if (endpoint != null) {
             sender.send(nowMicros, request, endpoint);
@@ -70,12 +70,9 @@
         return false;
     }
 
-    /**
-     * Queues the request, or rejects or fails it if too little time is left, because the next sweep might come after
-     * its deadline.
-     */
+    /** Queues the request. Rejects or fails it instead if the time until which it may wait in the queue has passed. */
     private void enqueue(long nowMicros, PendingRequest request) {
-        if (nowMicros >= queue.latestSendMicros(request)) {
+        if (nowMicros >= queue.mayWaitUntilMicros(request)) {
             requests.rejectOrFail(request);
         } else {
             queue.add(request);
@@ -83,8 +80,8 @@
     }
 
     /**
-     * Sends queued requests in order until one finds no endpoint, and rejects or fails those that are too late. Goes on
-     * after a request without an endpoint if only that request's own limits were the cause.
+     * Sends queued requests in order, and rejects or fails those that find no endpoint and are too late. Stops at the
+     * first other request that finds no endpoint, unless the cause may be specific to that request.
      */
     void dispatch(long nowMicros) {
         boolean capacityLeft = true;
@@ -99,9 +96,9 @@
     }
 
     /**
-     * Checks every queued request: sends it if an endpoint can take it, and rejects or fails it if it is too late. Once
-     * a request has found no endpoint for a reason that also applies to others, only requests with earlier attempts are
-     * still sent.
+     * Checks every queued request: sends it if an endpoint can take it, otherwise rejects or fails it if it is too
+     * late. Once a request has found no endpoint for a reason that also applies to others, only requests with earlier
+     * attempts are still sent. Called when the sweep timer fires.
      */
     void sweep(long nowMicros) {
         queue.onSweepTimer();
@@ -136,7 +133,7 @@
      */
     private boolean sendOrFinishIfLate(long nowMicros, int index, TrackedEndpoint endpoint) {
         PendingRequest request = queue.get(index);
-        if (endpoint == null && nowMicros < queue.latestSendMicros(request)) {
+        if (endpoint == null && nowMicros < queue.mayWaitUntilMicros(request)) {
             return false;
         }
         queue.remove(index);
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Marks a request as needing no further decision. It stays tracked until its last attempt has ended. */
+    /** Marks a request as finished and removes it from the queue. It stays tracked until its last attempt has ended. */
     void finish(PendingRequest request) {
         request.markFinished();
         queue.remove(request);
--- a/src/main/java/loadbalancer/input/InvalidSettingsException.java
+++ b/src/main/java/loadbalancer/input/InvalidSettingsException.java
@@ -22,7 +22,7 @@
         return new InvalidSettingsException(setting, "is not a number: '" + value + "'", "write a decimal number");
     }
 
-    /** Returns an exception for a value that is not one of {@code names}, the names that the setting may have. */
+    /** Returns an exception for a value that is not one of the permitted {@code names}, separated by commas. */
     static InvalidSettingsException unknownName(String setting, String value, String names) {
         return new InvalidSettingsException(setting, "has an unknown value: '" + value + "'", "write one of " + names);
     }
--- a/src/main/java/loadbalancer/input/SettingValues.java
+++ b/src/main/java/loadbalancer/input/SettingValues.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Provides typed access to settings given as text by path. For numbers, the text {@code -} means an absent value. */
+/**
+ * Provides typed access to settings, which are strings by path. Where a number is expected, {@code -} stands for an
+ * absent value. Integers and times are truncated numbers.
+ */
 final class SettingValues {
     private static final String ABSENT = "-";
 
@@ -14,7 +17,12 @@
         this.values = values;
     }
 
-    String text(String path) {
+    /**
+     * Returns the setting as it is.
+     *
+     * @throws InvalidSettingsException if it is missing
+     */
+    String string(String path) {
         String value = values.get(path);
         if (value == null) {
             throw InvalidSettingsException.missing(path);
@@ -22,7 +30,7 @@
         return value;
     }
 
-    String textOr(String path, String defaultValue) {
+    String stringOr(String path, String defaultValue) {
         return values.getOrDefault(path, defaultValue);
     }
 
@@ -30,18 +38,28 @@
      * Returns the names in a comma-separated list; {@code defaultValue}, in the same form, replaces an absent value.
      */
     List<String> namesOr(String path, String defaultValue) {
-        return Arrays.asList(textOr(path, defaultValue).split(","));
+        return Arrays.asList(stringOr(path, defaultValue).split(","));
     }
 
-    boolean hasText(String path, String expected) {
+    boolean hasString(String path, String expected) {
         return expected.equals(values.get(path));
     }
 
+    /**
+     * Returns the number, or 0 if the setting is {@code -}.
+     *
+     * @throws InvalidSettingsException if the setting is missing or not a number
+     */
     double number(String path) {
-        text(path);
+        string(path);
         return numberOr(path, 0);
     }
 
+    /**
+     * Returns the number, or the default if the setting is missing or {@code -}.
+     *
+     * @throws InvalidSettingsException if the setting is not a number
+     */
     double numberOr(String path, double defaultValue) {
         String value = values.get(path);
         if (value == null || value.equals(ABSENT)) {
--- a/src/main/java/loadbalancer/input/SettingsReader.java
+++ b/src/main/java/loadbalancer/input/SettingsReader.java
@@ -49,16 +49,16 @@
         return new LoadBalancerSettings(
                 values.integer("me"),
                 values.integer("balancers"),
-                values.text("zone"),
-                values.namesOr("azs", values.text("zone")),
+                values.string("zone"),
+                values.namesOr("azs", values.string("zone")),
                 values.namesOr("kinds", ""),
                 requestClasses,
                 tenants,
                 limits,
                 rules,
                 loadReporting("load_info.how"),
-                values.hasText("discovery", "on_request"),
-                values.hasText("counted_by", "work"),
+                values.hasString("discovery", "on_request"),
+                values.hasString("counted_by", "work"),
                 values.numberOr("over_share_worth", 1),
                 prices,
                 values.microsOr("period_us", DEFAULT_CLOCK_TICK_MICROS));
@@ -80,7 +80,7 @@
 
     private RequestClass requestClass(String prefix) {
         return new RequestClass(
-                values.text(prefix + "name"),
+                values.string(prefix + "name"),
                 idempotency(prefix + "semantics"),
                 deduplicationScope(prefix + "group"),
                 values.microsOr(prefix + "window_us", 0),
@@ -103,7 +103,7 @@
 
     private Tenant tenant(String prefix) {
         return new Tenant(
-                values.text(prefix + "name"),
+                values.string(prefix + "name"),
                 values.numberOr(prefix + "share", 0),
                 values.numberOr(prefix + "quota_rps", 0));
     }
@@ -144,7 +144,7 @@
     }
 
     private Idempotency idempotency(String path) {
-        String name = values.text(path);
+        String name = values.string(path);
         return switch (name) {
             case "safe" -> Idempotency.IDEMPOTENT;
             case "keyed" -> Idempotency.IDEMPOTENT_WITH_KEY;
@@ -154,7 +154,7 @@
     }
 
     private DeduplicationScope deduplicationScope(String path) {
-        String name = values.textOr(path, "all");
+        String name = values.stringOr(path, "all");
         return switch (name) {
             case "all", "-" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
@@ -168,7 +168,7 @@
      * reports.
      */
     private LoadReporting loadReporting(String path) {
-        return switch (values.textOr(path, "off")) {
+        return switch (values.stringOr(path, "off")) {
             case "inline" -> LoadReporting.INLINE;
             case "on_probe" -> LoadReporting.ON_HEALTH_CHECK;
             default -> LoadReporting.NONE;
--- a/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
+++ b/src/main/java/loadbalancer/proxy/protocol/LoadReportParser.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy.protocol;
 
 import loadbalancer.decision.LoadReport;
-import loadbalancer.input.LoadReportFields;
+import loadbalancer.input.LoadReportBuilder;
 
 /** Parses load reports of the form {@code TEXT inflight=7, queue=2, util=0.61}. Stateless. */
 public final class LoadReportParser {
@@ -16,16 +16,16 @@
         if (text == null || !text.startsWith(PREFIX)) {
             return null;
         }
-        LoadReportFields fields = new LoadReportFields();
+        LoadReportBuilder builder = new LoadReportBuilder();
         for (String pair : text.substring(PREFIX.length()).split(",")) {
             int equalsIndex = pair.indexOf('=');
             double value = equalsIndex < 0 ? Double.NaN : parseValue(pair.substring(equalsIndex + 1));
             if (Double.isNaN(value)) {
                 return null;
             }
-            fields.put(pair.substring(0, equalsIndex).trim(), value);
+            builder.set(pair.substring(0, equalsIndex).trim(), value);
         }
-        return fields.report();
+        return builder.build();
     }
 
     /** Returns the value, or NaN if {@code text} is not a number from 0 to {@link #MAX_VALUE}. */
--- a/src/main/java/loadbalancer/settings/EndpointRules.java
+++ b/src/main/java/loadbalancer/settings/EndpointRules.java
@@ -15,11 +15,11 @@
  *     its current capacity times this multiple
  * @param overloadWindowMicros length of the overload window
  * @param pollIntervalMicros if discovery is polled, a sidecar that has not polled for this time is regarded as notified
- *     of every change
+ *     of every change. Half of it also limits the backoff after failed polls
  * @param responseSlackMicros time after a request's deadline within which a final response still counts; no rule uses
  *     it
  * @param closeOnDrainMicros time within which idle connections to a draining endpoint must be closed; 0 if they may
- *     stay open
+ *     stay open. The decision module closes them at once if the time is positive
  */
 public record EndpointRules(
         long drainGraceMicros,
--- a/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
@@ -6,8 +6,8 @@
  * All settings of one sidecar. They take effect at its start or at a configuration reload. The lists must not be
  * modified.
  *
- * @param sidecarIndex index of this sidecar among all sidecars, from 0; used so that sidecars choose different endpoint
- *     subsets and different times for their requests to an endpoint in slow start
+ * @param sidecarIndex index of this sidecar among all sidecars, from 0; identifies it in gossip, and makes sidecars
+ *     choose different endpoint subsets and different times for their requests to an endpoint in slow start
  * @param sidecarCount number of sidecars that share the endpoints, 1 or more
  * @param zone the local zone
  * @param zones names of all zones
@@ -20,8 +20,8 @@
  * @param polledDiscovery whether the decision module has to poll discovery for endpoint lists; if false, discovery
  *     pushes changes. A reload can't change this value
  * @param weightByWork whether the priority weight of a request also grows with its work; no rule uses this value
- * @param overQuotaWeight fraction of the priority weight that a request beyond its tenant's quota keeps; no rule uses
- *     this value
+ * @param overQuotaWeightRatio fraction of the priority weight that a request beyond its tenant's quota keeps; no rule
+ *     uses this value
  * @param prices prices of the resources that the sidecars use
  * @param clockTickMicros shortest time between two calls of the decision module
  */
@@ -38,6 +38,6 @@
         LoadReporting loadReporting,
         boolean polledDiscovery,
         boolean weightByWork,
-        double overQuotaWeight,
+        double overQuotaWeightRatio,
         UsagePrices prices,
         long clockTickMicros) {}
--- a/src/main/java/loadbalancer/settings/RequestClass.java
+++ b/src/main/java/loadbalancer/settings/RequestClass.java
@@ -15,8 +15,8 @@
  * @param deadlineMicros longest time that clients wait for a response; a single request may specify a shorter time
  * @param priorityWeight value of a request relative to requests of other classes; load shedding rejects requests with
  *     low weights first
- * @param lateWeight fraction of the priority weight, 0 to 1, with which a response between the latency objective and
- *     the deadline counts
+ * @param lateWeightRatio fraction of the priority weight, 0 to 1, with which a response between the latency objective
+ *     and the deadline counts
  * @param streaming whether responses are streamed; no further attempt is sent once a response stream has started
  */
 public record RequestClass(
@@ -28,5 +28,5 @@
         double latencyObjectiveWorkRatio,
         long deadlineMicros,
         double priorityWeight,
-        double lateWeight,
+        double lateWeightRatio,
         boolean streaming) {}
--- a/src/main/java/loadbalancer/settings/UsagePrices.java
+++ b/src/main/java/loadbalancer/settings/UsagePrices.java
@@ -3,7 +3,8 @@
 /**
  * Prices of the resources that the sidecars use. Each price is the fraction of the service's total value, 0 to 1, that
  * is lost at the amount of use stated for the parameter; the cost is proportional to the amount. A price of 0 means
- * that the use is free. A mechanism whose cost exceeds its possible benefit is not used.
+ * that the use is free. The prices determine whether load is sampled, whether the local zone is preferred, whether a
+ * sidecar uses only a subset of the endpoints, and how much gossip it sends.
  *
  * @param crossZone price of one cross-zone attempt per first attempt
  * @param gossip price of 256 delivered bytes of gossip per first attempt
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -8,7 +8,7 @@
 import loadbalancer.decision.EndpointListType;
 import loadbalancer.decision.LoadReport;
 import loadbalancer.decision.Request;
-import loadbalancer.input.LoadReportFields;
+import loadbalancer.input.LoadReportBuilder;
 
 /**
  * Decodes the events of running instances, with one method for each message. Fields are read from left to right, so the
@@ -129,11 +129,11 @@
         if (commaSeparatedValues == null) {
             return null;
         }
-        LoadReportFields fields = new LoadReportFields();
+        LoadReportBuilder builder = new LoadReportBuilder();
         String[] values = commaSeparatedValues.split(",");
         for (int i = 0; i < values.length && i < fieldNames.size(); i++) {
             try {
-                fields.put(
+                builder.set(
                         fieldNames.get(i),
                         values[i].equals(WireNames.ABSENT) ? LoadReport.NOT_REPORTED : Double.parseDouble(values[i]));
             } catch (NumberFormatException e) {
@@ -141,6 +141,6 @@
                         "expected a load report of comma-separated numbers but found '" + commaSeparatedValues + "'");
             }
         }
-        return fields.report();
+        return builder.build();
     }
 }
--- a/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
+++ b/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
@@ -51,6 +51,7 @@
             fixture.outcome("r", 0, first, AttemptOutcome.RESET, 10_000);
             String second = fixture.endpointOf("r", 1);
             if (second != null) {
+                // Endpoint a is the only one in its zone.
                 assertEquals(first.equals("a"), second.equals("a"), first + " then " + second);
             }
             assertTrue(fixture.rejectedRequests().isEmpty());
@@ -87,11 +88,12 @@
     }
 
     /**
-     * The deduplication window applies to the arrival of a retry, which may be later than its sending by the time of a
-     * connect. A retry that would only be sent within the window could run a second time.
+     * A retry must arrive within the deduplication window, and it arrives later than it is sent if it needs a new
+     * connection. A retry that is sent within the window but arrives after it could run a second time.
      */
     @Test
     void retriesOnlyIfDeduplicationWindowLeavesTimeToConnect() {
+        // The retry is sent 10 ms after the first attempt, and the connect timeout is 250 ms.
         for (long windowMicros : new long[] {259_000, 261_000}) {
             PolicyFixture fixture = new PolicyFixture();
             fixture.idempotency = Idempotency.IDEMPOTENT_WITH_KEY;
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -108,7 +108,7 @@
         PolicyFixture fixture = new PolicyFixture();
         fixture.loadReporting = LoadReporting.NONE;
         fixture.start().receiveFullSnapshot(A, B, PolicyFixture.endpoint("c", "zc", 3));
-        int sent = 0;
+        int sentToA = 0;
         for (int i = 0; i < 60; i++) {
             String[] ids = {"x" + i, "y" + i, "z" + i};
             for (String id : ids) {
@@ -117,7 +117,7 @@
             fixture.advanceMicros(5_000);
             for (String id : ids) {
                 // Endpoint a rejects every second request.
-                if (fixture.endpointOf(id, 0).equals("a") && sent++ % 2 == 1) {
+                if (fixture.endpointOf(id, 0).equals("a") && sentToA++ % 2 == 1) {
                     fixture.outcome(id, 0, "a", AttemptOutcome.REJECTED, 5_000);
                 }
             }
@@ -127,7 +127,7 @@
                 fixture.outcome(id, lastAttempt, fixture.endpointOf(id, lastAttempt), AttemptOutcome.OK, 24_000);
             }
         }
-        assertTrue(sent >= 30, "only " + sent + " of 180 requests were sent to endpoint a");
+        assertTrue(sentToA >= 30, "only " + sentToA + " of 180 requests were sent to endpoint a");
     }
 
     @Test
--- a/src/test/java/loadbalancer/input/SettingsReaderTest.java
+++ b/src/test/java/loadbalancer/input/SettingsReaderTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** Verifies that settings are read by their external names, and that errors name the missing or malformed setting. */
+/** Tests that settings are read by their external names, and that errors name the missing or malformed setting. */
 class SettingsReaderTest {
     private final Map<String, String> values = new HashMap<>(Map.ofEntries(
             Map.entry("me", "3"),
@@ -52,7 +52,7 @@
         assertEquals(List.of(), settings.tenants());
         assertEquals(LoadReporting.NONE, settings.loadReporting());
         assertFalse(settings.polledDiscovery());
-        assertEquals(1, settings.overQuotaWeight());
+        assertEquals(1, settings.overQuotaWeightRatio());
         assertEquals(1, settings.limits().maxAttempts());
         assertEquals(250_000, settings.limits().connectTimeoutMicros());
         assertEquals(15_000_000, settings.limits().connectionIdleTimeoutMicros());
