--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -58,6 +58,8 @@
         // The jitter spreads the calls of sidecars whose calls failed at the same time.
         long jitteredMicros = delayMicros / 2 + random.nextLong(delayMicros);
         actions.startTimer(TimerNames.DISCOVERY_RETRY, jitteredMicros);
+        // With jitter, at most about three quarters of the poll interval. 1 is added as nextLong needs a positive
+        // bound.
         long maxDelayMicros = Math.min(MAX_DELAY_MICROS, settings.rules().pollIntervalMicros() / 2 + 1);
         delayMicros = Math.min(delayMicros * 2, maxDelayMicros);
     }
--- a/src/main/java/loadbalancer/decision/GossipState.java
+++ b/src/main/java/loadbalancer/decision/GossipState.java
@@ -16,13 +16,17 @@
     private int livePeers;
     private double livePeersInFlight;
 
-    /** Forgets all peers, because an index may belong to another sidecar under new settings. */
+    /**
+     * Forgets all peers, because an index may belong to another sidecar under new settings. Called at the start and for
+     * each change of the settings.
+     */
     void reset(int sidecarCount, int zoneCount) {
         peers = new GossipPeer[sidecarCount];
         zoneRatesPerSecond = new double[zoneCount];
         meanRatePerSecond = 0;
     }
 
+    /** Stores the last gossip of a sidecar. The next {@link #summarize} takes it into account. */
     void record(int sidecarIndex, GossipPeer peer) {
         peers[sidecarIndex] = peer;
     }
--- a/src/main/java/loadbalancer/decision/LoadBalancerActions.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancerActions.java
@@ -42,7 +42,10 @@
     /** Closes this sidecar's idle connections to the endpoint. */
     void closeIdleConnections(String endpointId);
 
-    /** Starts a timer that calls {@link LoadBalancer#onTimer} with the name after the delay. */
+    /**
+     * Starts a timer that calls {@link LoadBalancer#onTimer} with the name after the delay. Does not replace a running
+     * timer with the same name.
+     */
     void startTimer(String timerName, long delayMicros);
 
     /** Writes a line to the log. */
--- a/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
+++ b/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
@@ -43,7 +43,9 @@
                     nowMicros, endpoint, OutlierDetector.CONNECTION_FAILURE_WEIGHT);
             case CONNECT_FAILED -> evaluateConnectFailure(nowMicros, attempt);
             case REJECTED -> evaluateRejection(nowMicros, attempt);
-            default -> {}
+            default -> {
+                // NOT_SENT and INVALID_REQUEST say nothing about the endpoint.
+            }
         }
     }
 
--- a/src/test/java/loadbalancer/decision/IdleConnectionPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/IdleConnectionPolicyTest.java
@@ -54,6 +54,7 @@
                 .request("r1")
                 .advanceMicros(1_000)
                 .outcome("r1", 0, "a", AttemptOutcome.RESET, 1_000);
+        // The dropped connection had been idle for 2 s, so the idle limit is now 1.5 s.
         assertEquals("a", fixture.endpointOf("r1", 1));
         fixture.advanceMicros(75_000).outcome("r1", 1, "a", AttemptOutcome.OK, 75_000);
         assertEquals(0, fixture.endpointsWithClosedConnections().size());
