--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -4,7 +4,8 @@
 
 /**
  * Decides when discovery is polled for the endpoint list: at the start, and again after each failed call, with
- * exponential backoff and jitter, until a list arrives. Does nothing if lists are pushed.
+ * exponential backoff and jitter, until a list arrives. From then on, the host keeps the list up to date until it
+ * reports a failed call. Does nothing if lists are pushed.
  */
 final class DiscoveryPoller {
     private static final long FIRST_DELAY_MICROS = 500_000;
@@ -57,6 +58,8 @@
         // The jitter spreads the calls of sidecars whose calls failed at the same time.
         long jitteredMicros = delayMicros / 2 + random.nextLong(delayMicros);
         actions.startTimer(TimerNames.DISCOVERY_RETRY, jitteredMicros);
+        // With jitter, at most about three quarters of the poll interval. 1 is added as nextLong needs a positive
+        // bound.
         long maxDelayMicros = Math.min(MAX_DELAY_MICROS, settings.rules().pollIntervalMicros() / 2 + 1);
         delayMicros = Math.min(delayMicros * 2, maxDelayMicros);
     }
--- a/src/main/java/loadbalancer/decision/GossipState.java
+++ b/src/main/java/loadbalancer/decision/GossipState.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The last gossip of each sidecar, and a summary of it: the sum of the live peers' requests in flight and the mean
- * request rate of a sidecar by zone. A peer is live if its last gossip is at most 5 s old; an older one is ignored,
- * because the sender may have stopped.
+ * The last gossip of each sidecar, and a summary of it: the sum of the live peers' requests in flight, and the mean
+ * request rate per sidecar, in total and by zone. A peer is live if its last gossip is at most 5 s old; an older one is
+ * ignored, because the sender may have stopped.
  */
 final class GossipState {
     private static final long PEER_LIVE_MICROS = 5_000_000;
@@ -16,13 +16,17 @@
     private int livePeers;
     private double livePeersInFlight;
 
-    /** Forgets all peers, because an index may belong to another sidecar under new settings. */
+    /**
+     * Forgets all peers, because an index may belong to another sidecar under new settings. Called at the start and for
+     * each change of the settings.
+     */
     void reset(int sidecarCount, int zoneCount) {
         peers = new GossipPeer[sidecarCount];
         zoneRatesPerSecond = new double[zoneCount];
         meanRatePerSecond = 0;
     }
 
+    /** Stores the last gossip of a sidecar. The next {@link #summarize} takes it into account. */
     void record(int sidecarIndex, GossipPeer peer) {
         peers[sidecarIndex] = peer;
     }
--- a/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
+++ b/src/main/java/loadbalancer/decision/OutcomeEvaluator.java
@@ -43,7 +43,9 @@
                     nowMicros, endpoint, OutlierDetector.CONNECTION_FAILURE_WEIGHT);
             case CONNECT_FAILED -> evaluateConnectFailure(nowMicros, attempt);
             case REJECTED -> evaluateRejection(nowMicros, attempt);
-            default -> {}
+            default -> {
+                // NOT_SENT and INVALID_REQUEST say nothing about the endpoint.
+            }
         }
     }
 
@@ -71,8 +73,9 @@
     }
 
     /**
-     * Records a rejection. An endpoint that rejects although it has free cores, and that responds to no other attempt,
-     * is shutting down or broken, so it is ejected for longer. In any case the endpoint is assumed to be full.
+     * Handles a rejection. If the endpoint responds to other attempts, the rejection counts as little as a failure of
+     * the connection. If it does not, and this sidecar alone can't have filled its cores, it is shutting down or broken
+     * and is ejected for longer. In any case the endpoint is assumed to be full.
      */
     private void evaluateRejection(long nowMicros, Attempt attempt) {
         TrackedEndpoint endpoint = attempt.endpoint();
