--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -8,8 +8,10 @@
 
 /**
  * Pauses and resumes accepting connections on one listener, and computes an upper bound on the time that a connection
- * waited in the operating system's accept backlog. That time counts against the deadline of the connection's first
- * request. It is a handler in the listener's pipeline. Confined to the event loop.
+ * waited in the operating system's accept backlog because accepting was paused. That time counts against the deadline
+ * of the connection's first request. A wait because the event loop is late is not included; see
+ * {@link ReadTrackingEventLoop#currentLagMicros}. It is a handler in the listener's pipeline. Confined to the event
+ * loop.
  */
 final class AcceptBacklog extends ChannelInboundHandlerAdapter {
     /** The maximum number of connections that Netty accepts in one read of a listener. */
@@ -21,13 +23,13 @@
     private Channel listener;
     private int acceptedInRead;
     /**
-     * The earliest time at which connections can have begun to wait in the backlog; {@link #NEVER} if none can be
-     * waiting.
+     * The earliest time at which connections can have begun to wait because accepting was paused; {@link #NEVER} if
+     * none can be waiting for this reason.
      */
     private long waitingSinceMicros = NEVER;
     /**
      * When accepting was last resumed, or when a read last accepted {@link #MAX_ACCEPTS_PER_READ} connections;
-     * {@link #NEVER} while accepting is paused.
+     * {@link #NEVER} while accepting is paused and before its first pause.
      */
     private long resumedMicros = NEVER;
 
@@ -62,7 +64,10 @@
         }
     }
 
-    /** Returns the longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
+    /**
+     * Returns the longest time, in microseconds, that a connection accepted now can have waited because accepting was
+     * paused; 0 if it can't have waited for this reason.
+     */
     long maxWaitMicros() {
         resetWaitIfSocketsRead();
         return waitingSinceMicros == NEVER ? 0 : eventLoop.clock().nowMicros() - waitingSinceMicros;
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -119,6 +119,7 @@
 
     /**
      * Accepts no further requests. Writes the error response after the pending responses, then closes the connection.
+     * Has no effect after an earlier error.
      */
     private void rejectInput(HttpResponseStatus error) {
         if (inputError == null) {
@@ -144,7 +145,7 @@
     private void handle(ReceivedRequest received) {
         FullHttpRequest message = received.message();
         state = State.RESPONSE_PENDING;
-        countAsBusy();
+        stopCountingAsIdle();
         try {
             route(received);
         } catch (RuntimeException e) {
@@ -246,7 +247,7 @@
         }
     }
 
-    private void countAsBusy() {
+    private void stopCountingAsIdle() {
         if (countedAsIdle) {
             countedAsIdle = false;
             server.idleConnectionRemoved();
@@ -294,14 +295,14 @@
     }
 
     /**
-     * Closes the connection if no response is pending and its last activity was before the time that applies to it.
+     * Closes the connection if no response is pending and its last activity was before a cutoff time.
      *
-     * @param idleSinceMicros applies to a connection between requests
-     * @param receivingSinceMicros applies to a connection that has received only part of a request
+     * @param idleCutoffMicros the cutoff for a connection between requests
+     * @param receivingCutoffMicros the cutoff for a connection that has received only part of a request
      */
-    void closeIfInactive(long idleSinceMicros, long receivingSinceMicros) {
-        long sinceMicros = isBetweenRequests() ? idleSinceMicros : receivingSinceMicros;
-        if (!hasPendingResponse() && activity.lastActivityMicros() < sinceMicros) {
+    void closeIfInactive(long idleCutoffMicros, long receivingCutoffMicros) {
+        long cutoffMicros = isBetweenRequests() ? idleCutoffMicros : receivingCutoffMicros;
+        if (!hasPendingResponse() && activity.lastActivityMicros() < cutoffMicros) {
             close();
         }
     }
@@ -312,7 +313,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        countAsBusy();
+        stopCountingAsIdle();
         pipelinedRequests.clear();
         if (currentExchange != null) {
             RequestExchange disconnected = currentExchange;
@@ -321,7 +322,7 @@
         }
     }
 
-    /** Handles the exceptions of this handler and those of the decoder and the aggregator. */
+    /** Handles exceptions from all handlers of the pipeline, and I/O errors of the channel. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof TooLongFrameException) {
--- a/src/main/java/loadbalancer/proxy/client/ClientConnections.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnections.java
@@ -41,7 +41,10 @@
         return connections.size() >= limits.maxConnections();
     }
 
-    /** Counts one more connection as idle, that is, kept open between two requests. */
+    /**
+     * Counts one more connection as kept open between two requests. A connection that has not sent any request yet is
+     * not counted.
+     */
     void idleConnectionAdded() {
         idleConnections++;
     }
@@ -59,8 +62,8 @@
     }
 
     /**
-     * Closes one idle connection if the maximum number of connections is reached: the one with the earliest last
-     * activity, but preferably one that has never sent a request.
+     * Closes one connection that is between requests if the maximum number of connections is reached. Selects the one
+     * with the earliest last activity, but a connection that has never sent a request before any other.
      */
     void evictIdleConnectionIfFull(long nowMicros) {
         if (isFull()) {
@@ -78,8 +81,8 @@
     }
 
     /** Calls {@link ClientConnection#closeIfInactive} on every connection. */
-    void closeInactive(long idleSinceMicros, long receivingSinceMicros) {
+    void closeInactive(long idleCutoffMicros, long receivingCutoffMicros) {
         List.copyOf(connections)
-                .forEach(connection -> connection.closeIfInactive(idleSinceMicros, receivingSinceMicros));
+                .forEach(connection -> connection.closeIfInactive(idleCutoffMicros, receivingCutoffMicros));
     }
 }
--- a/src/main/java/loadbalancer/proxy/client/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientListener.java
@@ -15,7 +15,7 @@
  * methods are called on the event loop; {@link #isOpen} and {@link #close} only after {@code bind} has returned.
  */
 final class ClientListener {
-    private static final int SYSTEM_BACKLOG = 256;
+    private static final int MAX_BACKLOG_CONNECTIONS = 256;
     /**
      * Enough to read all pipelined requests of a client, and the end of the connection after them, in one iteration of
      * the event loop.
@@ -37,13 +37,15 @@
 
     /**
      * Listens on {@code address} and returns the address that is bound. Connections may be accepted before it returns.
+     *
+     * @throws java.net.BindException (not declared) if the address can't be bound
      */
     InetSocketAddress bind(InetSocketAddress address) throws InterruptedException {
         channel = new ServerBootstrap()
                 .group(eventLoop.nettyEventLoop())
                 .channelFactory(NioServerSocketChannel::new)
                 .handler(backlog)
-                .option(ChannelOption.SO_BACKLOG, SYSTEM_BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, MAX_BACKLOG_CONNECTIONS)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 // By default, Netty stops after a read that does not fill the buffer, and does not see the end of the
@@ -66,20 +68,20 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Pauses or resumes accepting. While it is paused, new connections wait in the operating system's backlog. */
+    /** Pauses or resumes accepting. While it is paused, new connections wait in the accept backlog. */
     void setAccepting(boolean accepting) {
         backlog.setAccepting(accepting);
     }
 
-    /** Returns the longest time, in microseconds, that a connection accepted now can have waited in the backlog. */
+    /** Returns the result of {@link AcceptBacklog#maxWaitMicros}. */
     long maxBacklogWaitMicros() {
         return backlog.maxWaitMicros();
     }
 
     /**
-     * Returns the time since the last connection was accepted, in microseconds. Returns 0 while accepting is paused,
-     * because it is not known then whether connections are waiting; afterwards, the time is counted from the last call
-     * during the pause.
+     * Returns the time since the last connection was accepted, in microseconds; {@code nowMicros} if none has been
+     * accepted. Returns 0 while accepting is paused, because it is not known then whether connections are waiting.
+     * After a pause, the time counts from the last call of this method during the pause.
      */
     long idleMicros(long nowMicros) {
         if (!backlog.isAccepting()) {
@@ -96,7 +98,7 @@
         return channel.isOpen();
     }
 
-    /** Closes the listening socket; this resets the connections in the operating system's backlog. */
+    /** Closes the listening socket; this resets the connections in the accept backlog. */
     void close() {
         channel.close();
     }
--- a/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionActivity.java
@@ -65,7 +65,10 @@
         return requestReceived;
     }
 
-    /** Returns whether the first but not the last byte of a request was read. */
+    /**
+     * Returns whether the first but not the last byte of a request was read. A first byte that was read together with
+     * the end of the previous request counts only once more bytes are read.
+     */
     boolean isReceivingRequest() {
         return requestStartMicros != NO_INCOMPLETE_REQUEST;
     }
@@ -73,7 +76,8 @@
     /**
      * Returns the longest time, in microseconds, that the request whose last byte was just read can have waited in the
      * accept backlog together with its connection. Returns 0 unless it is the connection's first request and was read
-     * right after the connection was accepted. Must be called before {@link #requestReceived}.
+     * less than {@link ReadTrackingEventLoop#MAX_READ_AGE_MICROS} after the connection was accepted. Must be called
+     * before {@link #requestReceived}.
      */
     long maxRequestBacklogWaitMicros() {
         boolean readRightAfterAccept = lastActivityMicros - acceptedMicros < ReadTrackingEventLoop.MAX_READ_AGE_MICROS;
--- a/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
@@ -5,7 +5,7 @@
 /**
  * Limits on the connections of clients.
  *
- * @param maxConnections maximum number of open connections; further ones wait in the listener's backlog
+ * @param maxConnections maximum number of open connections; further ones wait in the accept backlog
  * @param maxIdleConnections maximum number of connections that are kept open between two requests
  * @param descriptorAvailable whether there is a file descriptor for one more connection; called on the event loop
  */
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -6,9 +6,9 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * The graceful shutdown of the client side. In the first phase, connections are accepted and requests are served as
- * before, because clients still connect and send requests. In the second phase, connections and the listener are closed
- * as they become idle. Confined to the event loop.
+ * The graceful shutdown of the client side. In the serving phase, connections are still accepted and requests are still
+ * served, because clients connect and send requests as before. In the draining phase, connections and the listener are
+ * closed as they become idle. Confined to the event loop.
  */
 final class GracefulShutdown {
     /**
@@ -29,10 +29,9 @@
      */
     private static final long MAX_LISTENING_AFTER_SERVING_MICROS = 1_000_000;
     /**
-     * The last response has to be written this long after the request to shut down, plus the longest deadline of a
-     * request class. The process is killed 700 ms plus that deadline after the request to shut down; at most
-     * {@link #MAX_COUNTED_DEADLINE_MICROS} of the deadline count. Responses have to be written 100 ms before that, so
-     * that they still reach the client.
+     * The last response must be written within this time, plus the longest deadline of a request class but at most
+     * {@link #MAX_COUNTED_DEADLINE_MICROS}, after the shutdown is requested. The process is killed 100 ms later, that
+     * is, after 700 ms plus the deadline; the 100 ms let the last response reach its client.
      */
     private static final long BASE_RESPONSE_TIME_MICROS = 600_000;
 
@@ -71,7 +70,7 @@
     }
 
     /**
-     * Returns the time by which the last response has to be written, in microseconds of the clock;
+     * Returns the time by which the last response has to be written, in microseconds of the event loop's clock;
      * {@link Long#MAX_VALUE} if no shutdown is requested.
      */
     long latestResponseMicros() {
--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -10,7 +10,7 @@
  * @param routingKey a number of 53 bits, or {@link Request#NO_ROUTING_KEY}
  * @param retry whether the client states that it has sent this request before
  * @param costHintMicros the expected work of the request, in microseconds of a standard core; 0 if there is no hint
- * @param remainingMicros how long the client waits for the response, at most the deadline of the class
+ * @param remainingMicros how long the client waits for the response, limited to the deadline of the class
  */
 record ParsedRequest(
         String id,
--- a/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/proxy/client/PipelinedRequests.java
@@ -11,7 +11,7 @@
     /**
      * Maximum estimated memory of the pipelined requests of one connection; well-behaved clients do not pipeline at
      * all. A client that exceeds the limit gets an error response. The sidecar keeps reading the socket nevertheless,
-     * because otherwise it would not notice the client's disconnect.
+     * because otherwise it would not notice that the client disconnects.
      */
     private static final int MAX_BYTES = 4 * ProtocolConstants.MAX_REQUEST_BODY_BYTES;
 
@@ -23,7 +23,7 @@
         sizeBytes += request.sizeBytes();
     }
 
-    /** Returns the next request, whose message the caller has to release; null if there is none. */
+    /** Removes and returns the next request, whose message the caller has to release; null if there is none. */
     ReceivedRequest poll() {
         ReceivedRequest request = requests.poll();
         if (request != null) {
--- a/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -15,9 +15,10 @@
 import loadbalancer.proxy.protocol.ProtocolConstants;
 
 /**
- * Aggregates requests with bodies of up to {@link ProtocolConstants#MAX_REQUEST_BODY_BYTES}. The only response that it
- * writes is {@code 100 Continue} to a client that expects it, and only while no other response is pending, because it
- * would overtake that one. For a request that cannot be aggregated, an exception is passed along the pipeline:
+ * Aggregates requests with bodies of up to {@link ProtocolConstants#MAX_REQUEST_BODY_BYTES}. Writes status 100
+ * (continue) to a client that expects it, and status 417 (expectation failed) to one with an unknown expectation, whose
+ * request is dropped. Writes neither while a response to an earlier request is pending, because it would be sent before
+ * that response. For a request that cannot be aggregated, an exception is passed along the pipeline:
  * {@link TooLongFrameException} or {@link CorruptedFrameException}.
  */
 final class RequestAggregator extends HttpObjectAggregator {
@@ -39,7 +40,7 @@
         if (!start.decoderResult().isSuccess() || !hasKnownEnd(start)) {
             content.release();
             throw new CorruptedFrameException(
-                    "expected a valid request head without a transfer encoding other than chunked");
+                    "expected a valid request head with no transfer encoding or only chunked");
         }
         return super.beginAggregation(start, content);
     }
--- a/src/main/java/loadbalancer/proxy/client/RequestClasses.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestClasses.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns the longest deadline of any class, in microseconds; 0 if there is no class. No client waits longer for a
-     * response.
+     * Returns the longest deadline of any class, in microseconds; 0 if there is no class. No request is given more
+     * time, even if its client would wait for longer.
      */
     long longestDeadlineMicros() {
         return longestDeadlineMicros;
--- a/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestExchangeFactory.java
@@ -9,17 +9,18 @@
 final class RequestExchangeFactory {
     /**
      * The minimum margin between a request's deadline and the time at which the client stops waiting. If the recent lag
-     * of the event loop is longer, the margin is as long as that lag. It is never more than the time that the client
-     * waits, divided by {@link #MAX_RESPONSE_MARGIN_DIVISOR}.
+     * of the event loop is longer, the margin is as long as that lag. {@link #RESPONSE_MARGIN_LIMIT_DIVISOR} limits the
+     * margin in both cases.
      */
     private static final long MIN_RESPONSE_MARGIN_MICROS = 15_000;
 
-    private static final int MAX_RESPONSE_MARGIN_DIVISOR = 4;
+    /** The margin is at most the time that the client waits, divided by this. */
+    private static final int RESPONSE_MARGIN_LIMIT_DIVISOR = 4;
     /**
-     * At most the remaining time divided by this is deducted for the wait in the accept backlog, because only an upper
-     * bound of that wait is known.
+     * The wait in the accept backlog makes the deadline earlier by at most the time that the client waits, divided by
+     * this, because only an upper bound of the wait is known.
      */
-    private static final int MAX_BACKLOG_WAIT_DIVISOR = 2;
+    private static final int BACKLOG_WAIT_LIMIT_DIVISOR = 2;
 
     private final ReadTrackingEventLoop eventLoop;
     private final RequestParser parser;
@@ -57,8 +58,9 @@
     private long deadlineMicros(ReceivedRequest received, long remainingMicros) {
         long marginMicros = Math.min(
                 Math.max(MIN_RESPONSE_MARGIN_MICROS, eventLoop.recentLagMicros()),
-                remainingMicros / MAX_RESPONSE_MARGIN_DIVISOR);
-        long backlogWaitMicros = Math.min(received.maxBacklogWaitMicros(), remainingMicros / MAX_BACKLOG_WAIT_DIVISOR);
+                remainingMicros / RESPONSE_MARGIN_LIMIT_DIVISOR);
+        long backlogWaitMicros =
+                Math.min(received.maxBacklogWaitMicros(), remainingMicros / BACKLOG_WAIT_LIMIT_DIVISOR);
         long sentMicros = received.sentMicros() - backlogWaitMicros;
         return Math.min(shutdown.latestResponseMicros(), sentMicros + remainingMicros - marginMicros);
     }
--- a/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
+++ b/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
@@ -68,6 +68,8 @@
     /**
      * Listens on {@code address} and returns the bound address. Blocks until the socket is bound, so it must not be
      * called on the event loop.
+     *
+     * @throws java.net.BindException (not declared) if the address can't be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
         return listener.bind(address);
@@ -136,8 +138,9 @@
 
     /**
      * Pauses or resumes accepting. Accepting is paused at the maximum number of connections, because upstream
-     * connections need file descriptors too; further connections wait in the backlog. During a shutdown the maximum is
-     * ignored, so that connections that are already in the backlog are still served.
+     * connections need file descriptors too, and while no file descriptor is available; further connections wait in the
+     * accept backlog. During a shutdown the maximum is ignored, so that connections that are already in the backlog are
+     * still served.
      */
     private void updateAccepting() {
         boolean belowMaximum = isShuttingDown() || !connections.isFull();
@@ -146,7 +149,8 @@
 
     /**
      * Closes connections that occupy a file descriptor without using it: those that have sent no request in time, those
-     * whose request has been incomplete for too long, and those that have been idle for too long. Also resumes
+     * whose request has been incomplete for too long, and those that have been idle for too long. If the maximum number
+     * of connections is still reached, also closes one connection that has been idle for a shorter time. Resumes
      * accepting once upstream connections have released file descriptors. Called every 100 ms by the sidecar's
      * maintenance task.
      */
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -50,7 +50,7 @@
     /** Null if no call is in flight. Events of any other call are outdated and are ignored. */
     private Call callInFlight;
 
-    /** One call to discovery. Calls are compared by identity, which identifies events of earlier calls. */
+    /** One call to discovery. Calls are compared by identity, so that events of earlier calls are recognized. */
     private static final class Call {
         final String requestTarget;
         Future<?> timeout;
@@ -73,7 +73,7 @@
     /**
      * Starts a call. Must not be called while a call is in flight.
      *
-     * @param address the address of the service, used only if a new connection has to be opened
+     * @param address the address of discovery, used only if a new connection has to be opened
      */
     void fetch(InetSocketAddress address, String requestTarget, long timeoutMillis) {
         Call call = new Call(requestTarget);
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -14,10 +14,11 @@
 
 /**
  * Watches discovery by consecutive calls. The protocol expects the sidecar to know a change even if no call was open
- * when the change happened. Therefore the first failed call is repeated at once, and the first call does not wait for a
- * change. Each list is passed to the listener and then to the load balancer. After a failed call, the known list stays
- * in use; with {@link DiscoveryMode#POLLED}, the load balancer is notified of the failure and decides when to poll
- * again.
+ * when the change happened. Therefore the first call does not wait for a change, and a call that fails after a
+ * successful one is repeated at once. Each list is passed to the listener and then to the load balancer. After a failed
+ * call, the known list stays in use. With {@link DiscoveryMode#PUSHED}, the watch repeats the call after the pause of
+ * its {@link ExponentialBackoff}; with {@link DiscoveryMode#POLLED}, the load balancer is notified of the failure and
+ * decides when to poll again.
  *
  * <p>All methods run on the event loop that owns the watch.
  */
@@ -30,8 +31,9 @@
     public record Options(InetSocketAddress address, long generation, DiscoveryMode mode, WatchTimeouts timeouts) {}
 
     /**
-     * The minimum time from the start of a successful call to the start of the next call. It prevents continuous calls
-     * to a service that answers each call at once. The protocol allows a pause of up to 200 ms.
+     * The minimum time from the start of a successful call to the start of the next call, unless the load balancer
+     * polls or the address changes earlier. It prevents continuous calls while discovery answers each call at once. The
+     * protocol allows a pause of up to 200 ms.
      */
     private static final long MIN_CALL_INTERVAL_MILLIS = 50;
 
@@ -108,9 +110,9 @@
     }
 
     /**
-     * Watches the service at {@code newAddress} from now on, and fetches a full snapshot from it first. A call in
+     * Watches discovery at {@code newAddress} from now on, and fetches a full snapshot from there first. A call in
      * flight to the previous address is cancelled. The cancelled call does not count as a failure, so no backoff
-     * follows.
+     * follows. Has no effect if the address is unchanged.
      */
     public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListCursor.java
@@ -11,8 +11,8 @@
 
     private long generation;
     /**
-     * Whether the next list must be a full snapshot, because a list was malformed or because the service was replaced.
-     * Deltas can't be applied to the known list then.
+     * Whether the next list must be a full snapshot, because a list was malformed or because the address of discovery
+     * has changed. Deltas can't be applied to the known list then.
      */
     private boolean fullSnapshotRequired;
     /**
@@ -70,7 +70,10 @@
         }
     }
 
-    /** Makes the next call fetch a full snapshot. Another service may count generations differently. */
+    /**
+     * Makes the next call fetch a full snapshot. Called when the address of discovery changes, because discovery at
+     * another address may count generations differently.
+     */
     void requireFullSnapshot() {
         fullSnapshotRequired = true;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
+++ b/src/main/java/loadbalancer/proxy/discovery/ExponentialBackoff.java
@@ -3,16 +3,19 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Determines the pause after a failed call. There is no pause after the first failure, because the sidecar is expected
- * to know changes even while no call is open. The pause starts with the second consecutive failure and doubles with
- * each further one, up to a maximum. It has jitter, because all sidecars notice the failure of a service at the same
- * time. Not thread-safe.
+ * Determines the pause after a failed call. There is no pause after the first of consecutive failures, because the
+ * sidecar is expected to know a change even if no call was open when it happened. From the second failure on, the pause
+ * is a random time between half of a limit and the limit. The limit doubles with each further failure, up to a maximum.
+ * The pause is random because all sidecars notice a failure of discovery at the same time and should not repeat their
+ * calls at the same time. Not thread-safe.
  */
 public final class ExponentialBackoff {
     /** Prevents an overflow. The maximum pause is reached after far fewer doublings. */
     private static final int MAX_DOUBLINGS = 20;
 
+    /** The limit of the pause after the second consecutive failure. */
     private final long initialPauseMicros;
+
     private final long maxPauseMicros;
     /** Returns a random number from 0 (inclusive) to its argument (exclusive). */
     private final LongUnaryOperator boundedRandom;
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseAggregator.java
@@ -14,8 +14,8 @@
 /**
  * Aggregates responses whose headers determine where the response ends. Rejects any other response with a
  * {@link CorruptedFrameException}. A response that ends when its connection closes can't be distinguished from a
- * truncated response, and no response to the request follows the status 101 (switching protocols). Used by one
- * connection, on its event loop.
+ * truncated response, and a status of 101 (switching protocols) is not followed by a response to the request. Used by
+ * one connection, on its event loop.
  */
 final class ResponseAggregator extends HttpObjectAggregator {
     private boolean inProgress;
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseClassifier.java
@@ -20,12 +20,12 @@
         LoadReport loadReport = loadReport(call, response);
         AttemptOutcome outcome = outcome(response);
         if (call.isHealthCheck() && outcome == AttemptOutcome.OK && loadReport == null) {
-            // Otherwise the load balancer could not distinguish a malformed load report from a missing one.
+            // Otherwise a health check would count as successful although its response has no well-formed load report.
             outcome = AttemptOutcome.MALFORMED_RESPONSE;
         }
         if (!call.isWritten() && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR)) {
-            // An endpoint can't respond to a request that is not completely sent, so the response belongs to another
-            // request.
+            // An endpoint can't process a request that is not completely sent, so the response belongs to another
+            // request. Only a rejection or a client error may be sent so early.
             call.onMalformedResponse();
         } else {
             call.end(outcome, loadReport, outcome == AttemptOutcome.OK ? response.content() : null);
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -32,6 +32,7 @@
     /** Null until the call is started. */
     private UpstreamEndpoint endpoint;
 
+    /** Null until the call is started. */
     private Future<?> deadlineTimer;
     /** Null until an idle connection is selected or a new connection is opened. */
     private Channel channel;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -85,7 +85,7 @@
     /**
      * Marks the connection as idle.
      *
-     * @param reusableAtMicros when the reuse delay ends
+     * @param reusableAtMicros when the reuse delay ends; 0 if there is no delay
      */
     void becomeIdle(long nowMicros, long reusableAtMicros) {
         idleSinceMicros = nowMicros;
@@ -193,7 +193,9 @@
     }
 
     /**
-     * Closes the connection after an I/O error, which ends its call. Treats any other error as a malformed response.
+     * Closes the connection after an I/O error or an early end of the response, which ends its call. Treats any other
+     * error as a malformed response. If a complete response waits for delivery, only marks the connection as malformed,
+     * so that it is closed when the response is delivered.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -29,8 +29,8 @@
     public static final long REUSE_DELAY_MICROS = 30_000;
 
     /**
-     * Idle connections are closed this long before the endpoint may close them. Otherwise a request could be sent on a
-     * connection that the endpoint is closing at the same time.
+     * Idle connections are closed this long before the endpoint may close them, but not before half of the endpoint's
+     * idle timeout. Otherwise a request could be sent on a connection that the endpoint is closing at the same time.
      */
     private static final long IDLE_MARGIN_MICROS = 2_000_000;
 
@@ -77,7 +77,10 @@
         connector.updateTimeouts(timeouts);
     }
 
-    /** Applies an endpoint list. Idle connections to endpoints that are draining, removed or restarted are closed. */
+    /**
+     * Applies an endpoint list. Closes the idle connections to endpoints that are draining or removed, were restarted
+     * or have a new address.
+     */
     public void updateEndpoints(EndpointList list) {
         endpoints.update(list);
     }
@@ -121,22 +124,26 @@
     }
 
     private void closeUnusableConnections() {
-        long now = clock.nowMicros();
+        long nowMicros = clock.nowMicros();
         for (UpstreamEndpoint endpoint : endpoints.all()) {
-            endpoint.idleConnections().closeUnusable(now, idleTimeoutMicros);
+            endpoint.idleConnections().closeUnusable(nowMicros, idleTimeoutMicros);
         }
     }
 
-    /** Starts a call. The call ends at once if its endpoint is not ready, and otherwise no later than its deadline. */
+    /**
+     * Starts a call. The call ends at once as {@link AttemptOutcome#NOT_SENT} if its endpoint is unknown or not ready,
+     * and otherwise no later than its deadline.
+     */
     public void startCall(UpstreamCall call) {
-        long now = clock.nowMicros();
+        long nowMicros = clock.nowMicros();
         UpstreamEndpoint endpoint = endpoints.get(call.endpointId());
         if (endpoint == null || !endpoint.isReady()) {
-            call.endAsNotSent(now);
+            call.endAsNotSent(nowMicros);
             return;
         }
-        long timeoutMicros = call.deadlineMicros() - now;
-        call.start(now, endpoint, nettyEventLoop.schedule(call::onDeadline, timeoutMicros, TimeUnit.MICROSECONDS));
+        long timeoutMicros = call.deadlineMicros() - nowMicros;
+        call.start(
+                nowMicros, endpoint, nettyEventLoop.schedule(call::onDeadline, timeoutMicros, TimeUnit.MICROSECONDS));
         // Data that is still unread may end the call, change the state of its endpoint or close an idle connection.
         eventLoop.runAfterPendingReads(() -> assignConnection(call));
     }
@@ -221,8 +228,8 @@
             connection.close();
             return;
         }
-        long now = clock.nowMicros();
-        connection.becomeIdle(now, reuseDelayMicros > 0 ? now + reuseDelayMicros : 0);
+        long nowMicros = clock.nowMicros();
+        connection.becomeIdle(nowMicros, reuseDelayMicros > 0 ? nowMicros + reuseDelayMicros : 0);
         call.endpoint().idleConnections().add(connection);
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -7,7 +7,8 @@
 /**
  * One process of an endpoint, with its state in the current endpoint list and the idle connections to it. An entry with
  * the same endpoint id but another address or start time describes another process. A call keeps a reference to the
- * process for which it was started. A removed process stays removed. Confined to the event loop of the pool.
+ * process for which it was started, so that it is not sent if this process is removed or replaced in the meantime.
+ * Confined to the event loop of the pool.
  */
 final class UpstreamEndpoint {
     private final InetSocketAddress address;
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -105,7 +105,7 @@
                 blockLoop(blocker, round);
                 accepted.send(SidecarFixture.idempotentRequest("gone" + round, 20_000));
                 disconnect(accepted, Disconnection.CLOSE);
-                // This connection waits in the listener's backlog, together with its request and its end.
+                // This connection waits in the accept backlog, together with its request and its end.
                 StubServer.Client unaccepted = fixture.client();
                 unaccepted.send(SidecarFixture.idempotentRequest("new" + round, 20_000));
                 disconnect(unaccepted, Disconnection.CLOSE);
--- a/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
+++ b/src/test/java/loadbalancer/proxy/client/MalformedInputTest.java
@@ -132,8 +132,9 @@
     }
 
     /**
-     * Silent clients and incomplete requests occupy file descriptors, so their connections are closed within 3 s of
-     * connecting.
+     * Silent clients and incomplete requests occupy file descriptors, so their connections must be closed within 3 s of
+     * connecting. A connection that is idle after a response is closed later. This test checks only that all of them
+     * are closed; {@link ConnectionActivityTest} checks the times.
      */
     @Test
     void closesConnectionsOfSilentClientsAndIncompleteRequests() throws Exception {
@@ -151,9 +152,7 @@
                 assertEquals(408, partialHead.readStatus());
                 assertEquals(408, partialBody.readStatus());
                 assertTrue(partialHead.isClosedBySidecar() && partialBody.isClosedBySidecar());
-                assertTrue(
-                        afterOneRequest.isClosedBySidecar(),
-                        "the connection stays open forever after a single request");
+                assertTrue(afterOneRequest.isClosedBySidecar(), "the connection was left open after a single request");
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -30,7 +30,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Checks events that occur in one iteration of the event loop, in which no connection can be established. */
+/**
+ * Checks the withdrawal of attempts whose request is completed in the same iteration of the event loop, in which no
+ * connection can be established, and the log line of a late response.
+ */
 @Timeout(60)
 class RequestDispatcherTest {
     private final MonotonicClock clock = new MonotonicClock();
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -68,7 +68,10 @@
         }
     }
 
-    /** If the load balancer throws an exception, only the request that it was handling fails. */
+    /**
+     * If the load balancer throws an exception, only the request that it was handling fails. If it throws in a timer,
+     * the requests without an attempt in flight fail, here the request {@code a3}.
+     */
     @Test
     void failsOnlyRequestForWhichLoadBalancerThrows() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
--- a/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestParserTest.java
@@ -87,9 +87,9 @@
         assertRejected("expected exactly one request id in header X-Txn", withoutId);
         assertRejected(
                 "expected the name of a known request class in header X-Lane", message(HttpMethod.GET, "unknown"));
-        FullHttpRequest withoutTime = message(HttpMethod.GET, "read");
-        withoutTime.headers().set("X-Remaining-Ms", "1.5");
-        assertRejected("expected a positive whole number of milliseconds in header X-Remaining-Ms", withoutTime);
+        FullHttpRequest fractionalTime = message(HttpMethod.GET, "read");
+        fractionalTime.headers().set("X-Remaining-Ms", "1.5");
+        assertRejected("expected a positive whole number of milliseconds in header X-Remaining-Ms", fractionalTime);
         assertRejected(
                 "expected method GET for an idempotent request class, POST for any other class",
                 message(HttpMethod.POST, "read"));
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryWatchTest.java
@@ -85,7 +85,7 @@
                 respond("200 OK", "Connection: close\r\n", SidecarFixture.endpointListJson(44, true, READY))))) {
             fixture.start();
             assertEquals("list CACHED u0=READY", fixture.awaitEvent("list"));
-            // The decision module has polled, so it is notified of the first response even without a change.
+            // The load balancer has polled, so it is notified of the first response even without a change.
             assertEquals("list DELTA ", fixture.awaitEvent("list"));
             assertEquals("list DELTA u0=DRAINING", fixture.awaitEvent("list"));
             assertEquals("list FULL u0=READY", fixture.awaitEvent("list"));
@@ -145,7 +145,7 @@
     }
 
     /**
-     * When lists are pushed, the decision module never polls. The watch has to continue by itself, also after failures.
+     * When lists are pushed, the load balancer never polls. The watch has to continue by itself, also after failures.
      */
     @Test
     void watchesPushedListsWithoutPoll() throws Exception {
@@ -156,14 +156,14 @@
             assertEquals(
                     "list DELTA u0=READY",
                     fixture.awaitEvent("list"),
-                    "notified of a failure that it did not poll for, or of a delta without changes");
+                    "notified the load balancer of a failure without a poll, or of a delta without changes");
         }
     }
 
     /**
      * After a configuration reload, the previous service may stop responding or reset its connections. The full
-     * snapshot of the new service must be fetched at once, without a backoff for the cancelled call, and a late
-     * response to the cancelled call must be ignored.
+     * snapshot of the new service must be fetched at once, without a backoff for the cancelled call, and the connection
+     * to the previous service must be closed, so that no late response to the cancelled call is read.
      */
     @Test
     void requestsFullSnapshotFromNewServiceAtOnce() throws Exception {
@@ -188,7 +188,10 @@
         }
     }
 
-    /** The sidecar is expected to know changes even while no call is open, so the call is repeated without a pause. */
+    /**
+     * The sidecar is expected to know a change even if no call was open when it happened, so the call is repeated
+     * without a pause.
+     */
     @Test
     void repeatsCallAtOnceAfterConnectionLoss() throws Exception {
         StubServer.RequestHandler unchanged = (request, connection) -> connection.respond(
--- a/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
+++ b/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
@@ -13,8 +13,9 @@
 import loadbalancer.settings.RequestClass;
 
 /**
- * Records each call as a line in the events of its fixture, and takes its actions in the callbacks of the fixture.
- * Throws an exception when a timer named {@code break} fires.
+ * Records each call except {@link #onStreamStart} as a line in the events of its fixture. Lets the callbacks of the
+ * fixture take the actions on requests and outcomes, and polls discovery if {@link SidecarFixture#pollsEndpoints} is
+ * set. Throws an exception when a timer named {@code break} fires.
  */
 final class RecordingLoadBalancer implements LoadBalancer {
     private final SidecarFixture fixture;
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -26,8 +26,8 @@
 /**
  * A real sidecar in this process, on ephemeral loopback ports, with stub servers as its endpoints and discovery. Its
  * load balancer takes the actions that the callbacks of the test decide on, {@link #onRequest} and {@link #onOutcome},
- * and records each of its calls as a line in {@link #events}. A test sets the fields before it calls {@link #start};
- * only the two callbacks and {@link #settingsJson} may change later.
+ * and records the calls to it as lines in {@link #events}. A test sets the fields before it calls {@link #start}; only
+ * the two callbacks and {@link #settingsJson} may change later.
  */
 public final class SidecarFixture implements AutoCloseable {
     public static final String SETTINGS_JSON =
@@ -56,7 +56,7 @@
     }
 
     /**
-     * One line for each call of the load balancer, in the order of the calls: the kind of the call, then the id and the
+     * One line for each call to the load balancer, in the order of the calls: the kind of the call, then the id and the
      * values that tests check, separated by spaces. {@link RecordingLoadBalancer} defines the lines.
      */
     public final BlockingQueue<String> events = new LinkedBlockingQueue<>();
--- a/src/test/java/loadbalancer/proxy/testing/StubServer.java
+++ b/src/test/java/loadbalancer/proxy/testing/StubServer.java
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Blocks a handler until the latch is released. */
+    /** Blocks a handler until the latch has counted down to zero. */
     public static void awaitLatch(CountDownLatch latch) throws InterruptedIOException {
         try {
             latch.await();
@@ -58,6 +58,7 @@
 
     /** A received request or response; {@code head} contains the start line and the headers. */
     public record Message(String head, String body) {
+        /** Returns the request target, that is, the path and the query. Must be called only on a request. */
         public String path() {
             return head.split(" ")[1];
         }
--- a/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/AttemptOutcomeTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tests which outcome the decision module is notified of for each behavior of an endpoint. */
+/** Tests which outcome the load balancer is notified of for each behavior of an endpoint. */
 @Timeout(60)
 class AttemptOutcomeTest {
     /** Starts a sidecar with one endpoint, {@code u0}, whose requests go to {@code handler}. */
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -25,7 +25,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Tests connections under changes of the endpoint list. As in production, the pool is called only on its event loop.
+ * Tests which connections the pool opens, reuses and closes. As in production, the pool is called only on its event
+ * loop.
  */
 @Timeout(60)
 class UpstreamConnectionPoolTest {
@@ -189,7 +190,10 @@
         }
     }
 
-    /** A connection that was never established must not count. Otherwise a crashed endpoint would use up the limit. */
+    /**
+     * A connection that was never established must not count towards the limit. Otherwise the attempts to connect to a
+     * crashed endpoint would use up the limit.
+     */
     @Test
     void doesNotCountFailedConnections() throws Exception {
         try (StubServer server = new StubServer(
@@ -272,6 +276,7 @@
         try (StubServer server = new StubServer(RESPONDING)) {
             UpstreamConnectionPool pool = newPool(ENDPOINT_IDLE_TIMEOUT_MICROS, 100, 1_000);
             update(pool, list(true, ready("u", server)));
+            // Repeats the call until one opens no new connection.
             for (int calls = 0; server.acceptedSockets.size() == calls; calls++) {
                 assertEquals("u OK", outcomeOfCall(pool, "u"));
             }
