--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -254,6 +254,7 @@
         }
     }
 
+    /** Returns whether a request that was received completely has no response yet. */
     boolean hasPendingResponse() {
         return state == State.RESPONSE_PENDING || !pipelinedRequests.isEmpty();
     }
--- a/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
+++ b/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
@@ -77,7 +77,8 @@
 
     /**
      * Makes the server report that it is not ready until {@link #warmUpCompleted} is called. Until then
-     * {@code onRequest} runs for each valid request, before it is dispatched.
+     * {@code onRequest} runs on the event loop for each valid request, before it is dispatched. Must be called before
+     * {@link #listen}.
      */
     public void delayReadinessForWarmUp(Runnable onRequest) {
         onRequestDuringWarmUp = onRequest;
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -14,11 +14,10 @@
 
 /**
  * Watches discovery by consecutive calls. The protocol expects the sidecar to know a change even if no call was open
- * when the change happened. Therefore the first call does not wait for a change, and a call that fails after a
- * successful one is repeated at once. Each list is passed to the listener and then to the load balancer. After a failed
- * call, the known list stays in use. With {@link DiscoveryMode#PUSHED}, the watch repeats the call after the pause of
- * its {@link ExponentialBackoff}; with {@link DiscoveryMode#POLLED}, the load balancer is notified of the failure and
- * decides when to poll again.
+ * when the change happened. Therefore the first call does not wait for a change. Each list is passed to the listener
+ * and then to the load balancer. After a failed call, the known list stays in use. With {@link DiscoveryMode#PUSHED},
+ * the watch repeats the call after the pause of its {@link ExponentialBackoff}, which is 0 after the first failure.
+ * With {@link DiscoveryMode#POLLED}, the load balancer is notified of the failure and decides when to poll again.
  *
  * <p>All methods run on the event loop that owns the watch.
  */
