--- a/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
+++ b/src/main/java/loadbalancer/proxy/client/ParsedRequest.java
@@ -23,7 +23,7 @@
         RequestPayload payload) {
     /**
      * Creates the request for the load balancer. {@code untilDeadlineMicros} is the time left to respond; values below
-     * 1 are replaced by 1.
+     * 1 are replaced by 1. {@link Request#write} is always false; no rule of the load balancer uses it.
      */
     Request toRequest(long untilDeadlineMicros) {
         return new Request(
