--- a/src/main/java/loadbalancer/decision/Endpoint.java
+++ b/src/main/java/loadbalancer/decision/Endpoint.java
@@ -7,8 +7,8 @@
  * @param zone availability zone; a zone that is missing from the settings is treated as the first one there
  * @param machineType endpoints of one machine type have about the same speed and number of cores
  * @param cell number of the endpoint's cell, the smallest deduplication scope; {@link #NO_CELL} if unknown
- * @param startedMicros time of the endpoint's latest start on the module's clock; 0 if it started long ago or the time
- *     is unknown
+ * @param startedMicros time of the endpoint's latest start on the clock of the decision module; 0 if it started long
+ *     ago or the time is unknown
  * @param weight weight from the endpoint list, relative to other endpoints and without a unit; no rule uses it
  * @param state whether the endpoint accepts requests
  */
--- a/src/main/java/loadbalancer/decision/LoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancer.java
@@ -4,9 +4,9 @@
 import loadbalancer.settings.LoadBalancerSettings;
 
 /**
- * The decision module of one sidecar. The program that contains the module, its host, reports events by calling these
- * methods; during such a call the module carries out its decisions by calling {@link LoadBalancerActions}. Not
- * thread-safe: all calls must come from one thread.
+ * The decision module of one sidecar, also called the load balancer. The program that contains the module, its host,
+ * reports events by calling these methods; during such a call the module carries out its decisions by calling
+ * {@link LoadBalancerActions}. Not thread-safe: all calls must come from one thread.
  *
  * <p>Times are in microseconds of one monotonic clock, to which {@link Endpoint#startedMicros} also refers. The module
  * has no other source of time, so that the same events and the same seed give the same decisions.
@@ -50,6 +50,6 @@
     /** Handles a gossip message; ignores it if it is malformed or the index is not that of another sidecar. */
     void onGossip(long nowMicros, int sidecarIndex, byte[] message);
 
-    /** Reports that a timer started by {@link LoadBalancerActions#startTimer} has expired. */
+    /** Reports that a timer started by {@link LoadBalancerActions#startTimer} has fired. */
     void onTimer(long nowMicros, String timerName);
 }
--- a/src/main/java/loadbalancer/decision/TimerNames.java
+++ b/src/main/java/loadbalancer/decision/TimerNames.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** Names of the timers that the decision module starts; the host passes the name back when a timer is due. */
+/** Names of the timers that the decision module starts; the host passes the name back when the timer fires. */
 final class TimerNames {
     /** Starts a sweep of the request queue. */
     static final String QUEUE_SWEEP = "queue-sweep";
--- a/src/main/java/loadbalancer/input/SettingValues.java
+++ b/src/main/java/loadbalancer/input/SettingValues.java
@@ -50,9 +50,9 @@
      *
      * @throws InvalidSettingsException if the setting is missing or not a number
      */
-    double number(String path) {
+    double decimal(String path) {
         string(path);
-        return numberOr(path, 0);
+        return decimalOr(path, 0);
     }
 
     /**
@@ -60,7 +60,7 @@
      *
      * @throws InvalidSettingsException if the setting is not a number
      */
-    double numberOr(String path, double defaultValue) {
+    double decimalOr(String path, double defaultValue) {
         String value = values.get(path);
         if (value == null || value.equals(ABSENT)) {
             return defaultValue;
@@ -73,19 +73,19 @@
     }
 
     int integer(String path) {
-        return (int) number(path);
+        return (int) decimal(path);
     }
 
     int integerOr(String path, int defaultValue) {
-        return (int) numberOr(path, defaultValue);
+        return (int) decimalOr(path, defaultValue);
     }
 
     long micros(String path) {
-        return (long) number(path);
+        return (long) decimal(path);
     }
 
     long microsOr(String path, long defaultMicros) {
-        return (long) numberOr(path, defaultMicros);
+        return (long) decimalOr(path, defaultMicros);
     }
 
     /** Returns whether the setting is {@code true} or {@code 1}; false if it is absent. */
--- a/src/main/java/loadbalancer/input/SettingsReader.java
+++ b/src/main/java/loadbalancer/input/SettingsReader.java
@@ -14,8 +14,8 @@
 import loadbalancer.settings.UsagePrices;
 
 /**
- * Reads settings from pairs of path and value. The pairs come from the configuration of a sidecar or from the
- * simulator's wire.
+ * Reads settings from pairs of path and value. The pairs come from the configuration of a sidecar or from the simulator
+ * protocol.
  *
  * <p>Only this class maps the external names of settings to the terms of the code. It ignores unknown paths, so that a
  * configuration may contain settings of a newer version. Not thread-safe.
@@ -59,7 +59,7 @@
                 loadReporting("load_info.how"),
                 values.hasString("discovery", "on_request"),
                 values.hasString("counted_by", "work"),
-                values.numberOr("over_share_worth", 1),
+                values.decimalOr("over_share_worth", 1),
                 prices,
                 values.microsOr("period_us", DEFAULT_CLOCK_TICK_MICROS));
     }
@@ -85,10 +85,10 @@
                 deduplicationScope(prefix + "group"),
                 values.microsOr(prefix + "window_us", 0),
                 values.micros(prefix + "objective_us"),
-                values.numberOr(prefix + "aim_stretch", 0),
+                values.decimalOr(prefix + "aim_stretch", 0),
                 values.micros(prefix + "give_up_us"),
-                values.numberOr(prefix + "importance", 1),
-                values.numberOr(prefix + "late_worth", 0),
+                values.decimalOr(prefix + "importance", 1),
+                values.decimalOr(prefix + "late_worth", 0),
                 values.flag(prefix + "stream"));
     }
 
@@ -104,8 +104,8 @@
     private Tenant tenant(String prefix) {
         return new Tenant(
                 values.string(prefix + "name"),
-                values.numberOr(prefix + "share", 0),
-                values.numberOr(prefix + "quota_rps", 0));
+                values.decimalOr(prefix + "share", 0),
+                values.decimalOr(prefix + "quota_rps", 0));
     }
 
     private RequestLimits limits() {
@@ -119,15 +119,15 @@
                 values.microsOr("limits.max_retry_after_us", 0),
                 values.microsOr("limits.conn_idle_us", DEFAULT_CONNECTION_IDLE_TIMEOUT_MICROS),
                 values.microsOr("limits.dial_timeout_us", DEFAULT_CONNECT_TIMEOUT_MICROS),
-                values.numberOr("limits.cpu_us_per_request", 0));
+                values.decimalOr("limits.cpu_us_per_request", 0));
     }
 
     private EndpointRules rules() {
         return new EndpointRules(
                 values.micros("rules.drain_grace_us"),
-                values.number("rules.cold_share"),
+                values.decimal("rules.cold_share"),
                 values.micros("rules.ramp_time_us"),
-                values.number("rules.fall_multiple"),
+                values.decimal("rules.fall_multiple"),
                 values.micros("rules.fall_us"),
                 values.microsOr("rules.ask_every_us", 0),
                 values.microsOr("rules.answer_slack_us", 0),
@@ -136,11 +136,11 @@
 
     private UsagePrices prices() {
         return new UsagePrices(
-                values.numberOr("tariffs.cross_zone", 0),
-                values.numberOr("tariffs.peer", 0),
-                values.numberOr("tariffs.probe", 0),
-                values.numberOr("tariffs.connection", 0),
-                values.numberOr("tariffs.handshake", 0));
+                values.decimalOr("tariffs.cross_zone", 0),
+                values.decimalOr("tariffs.peer", 0),
+                values.decimalOr("tariffs.probe", 0),
+                values.decimalOr("tariffs.connection", 0),
+                values.decimalOr("tariffs.handshake", 0));
     }
 
     private Idempotency idempotency(String path) {
--- a/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
+++ b/src/main/java/loadbalancer/proxy/client/AcceptBacklog.java
@@ -17,21 +17,21 @@
     /** The maximum number of connections that Netty accepts in one read of a listener. */
     private static final int MAX_ACCEPTS_PER_READ = 16;
 
-    private static final long NEVER = 0;
+    private static final long UNSET = 0;
 
     private final ReadTrackingEventLoop eventLoop;
     private Channel listener;
     private int acceptedInRead;
     /**
-     * The earliest time at which connections can have begun to wait because accepting was paused; {@link #NEVER} if
+     * The earliest time at which connections can have begun to wait because accepting was paused; {@link #UNSET} if
      * none can be waiting for this reason.
      */
-    private long waitingSinceMicros = NEVER;
+    private long waitingSinceMicros = UNSET;
     /**
      * When accepting was last resumed, or when a read last accepted {@link #MAX_ACCEPTS_PER_READ} connections;
-     * {@link #NEVER} while accepting is paused and before its first pause.
+     * {@link #UNSET} while accepting is paused and before its first pause.
      */
-    private long resumedMicros = NEVER;
+    private long resumedMicros = UNSET;
 
     AcceptBacklog(ReadTrackingEventLoop eventLoop) {
         this.eventLoop = eventLoop;
@@ -59,8 +59,8 @@
             eventLoop.nettyEventLoop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS);
         } else {
             resetWaitIfSocketsRead();
-            waitingSinceMicros = waitingSinceMicros == NEVER ? nowMicros : waitingSinceMicros;
-            resumedMicros = NEVER;
+            waitingSinceMicros = waitingSinceMicros == UNSET ? nowMicros : waitingSinceMicros;
+            resumedMicros = UNSET;
         }
     }
 
@@ -70,7 +70,7 @@
      */
     long maxWaitMicros() {
         resetWaitIfSocketsRead();
-        return waitingSinceMicros == NEVER ? 0 : eventLoop.clock().nowMicros() - waitingSinceMicros;
+        return waitingSinceMicros == UNSET ? 0 : eventLoop.clock().nowMicros() - waitingSinceMicros;
     }
 
     /**
@@ -78,9 +78,9 @@
      * read has accepted every connection that was waiting.
      */
     private void resetWaitIfSocketsRead() {
-        boolean readSinceResumed = resumedMicros != NEVER && eventLoop.lastReadMicros() > resumedMicros;
+        boolean readSinceResumed = resumedMicros != UNSET && eventLoop.lastReadMicros() > resumedMicros;
         if (readSinceResumed) {
-            waitingSinceMicros = NEVER;
+            waitingSinceMicros = UNSET;
         }
     }
 
@@ -93,7 +93,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         boolean moreMayWait = acceptedInRead >= MAX_ACCEPTS_PER_READ;
-        if (moreMayWait && resumedMicros != NEVER) {
+        if (moreMayWait && resumedMicros != UNSET) {
             resumedMicros = eventLoop.clock().nowMicros();
         }
         acceptedInRead = 0;
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -284,7 +284,7 @@
      * Responds with 408 if a request is not received completely in time, and closes the connection if it has been idle
      * for too long. Has no effect while a response is pending.
      */
-    void closeIfStalled(long nowMicros) {
+    void closeIfTimedOut(long nowMicros) {
         if (hasPendingResponse()) {
             return;
         }
--- a/src/main/java/loadbalancer/proxy/client/ClientConnections.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnections.java
@@ -75,9 +75,9 @@
         }
     }
 
-    void closeStalled(long nowMicros) {
+    void closeTimedOut(long nowMicros) {
         // Iterates over a copy, because closing a connection removes it from the set.
-        List.copyOf(connections).forEach(connection -> connection.closeIfStalled(nowMicros));
+        List.copyOf(connections).forEach(connection -> connection.closeIfTimedOut(nowMicros));
     }
 
     /** Calls {@link ClientConnection#closeIfInactive} on every connection. */
--- a/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestDispatcher.java
@@ -44,7 +44,7 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final LoadBalancerExecutor loadBalancerExecutor;
-    private final UpstreamConnectionPool upstreams;
+    private final UpstreamConnectionPool upstreamPool;
     private int maxAttempts;
     private final TrafficStatistics statistics;
     /** The open requests by id: those that are not completed or have an attempt in flight. */
@@ -68,13 +68,13 @@
             EventLoop loop,
             MonotonicClock clock,
             LoadBalancerExecutor loadBalancerExecutor,
-            UpstreamConnectionPool upstreams,
+            UpstreamConnectionPool upstreamPool,
             int maxAttempts,
             TrafficStatistics statistics) {
         this.loop = loop;
         this.clock = clock;
         this.loadBalancerExecutor = loadBalancerExecutor;
-        this.upstreams = upstreams;
+        this.upstreamPool = upstreamPool;
         this.maxAttempts = maxAttempts;
         this.statistics = statistics;
     }
@@ -195,10 +195,10 @@
      * Starts an attempt of a request. The attempt ends at once as {@link AttemptOutcome#NOT_SENT} if its timeout has
      * already passed, the request already has the maximum number of attempts, or the request is completed.
      *
-     * @param untilMicros when the attempt times out; if it is 0, negative or later than the request's deadline, the
+     * @param deadlineMicros when the attempt times out; if it is 0, negative or later than the request's deadline, the
      *     attempt times out at that deadline
      */
-    public void sendAttempt(String requestId, String endpointId, long untilMicros) {
+    public void sendAttempt(String requestId, String endpointId, long deadlineMicros) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange == null) {
             return;
@@ -206,7 +206,7 @@
         int attemptNumber = exchange.attempts().size();
         long requestDeadlineMicros = exchange.deadlineMicros();
         long attemptDeadlineMicros =
-                untilMicros <= 0 ? requestDeadlineMicros : Math.min(untilMicros, requestDeadlineMicros);
+                deadlineMicros <= 0 ? requestDeadlineMicros : Math.min(deadlineMicros, requestDeadlineMicros);
         boolean maySend =
                 !exchange.isCompleted() && attemptNumber < maxAttempts && attemptDeadlineMicros > clock.nowMicros();
         UpstreamCall attempt = createAttempt(exchange, attemptNumber, endpointId, attemptDeadlineMicros);
@@ -215,7 +215,7 @@
         }
         exchange.attempts().add(attempt);
         if (maySend) {
-            upstreams.startCall(attempt);
+            upstreamPool.startCall(attempt);
         } else {
             attempt.endAsNotSent(clock.nowMicros());
         }
@@ -292,7 +292,7 @@
         }
     }
 
-    /** Fails a request: its client gets an error response. An endpoint may have run an attempt of it. */
+    /** Fails a request: its client gets an error response. An endpoint may have executed it. */
     public void fail(String requestId) {
         RequestExchange exchange = exchanges.get(requestId);
         if (exchange != null) {
@@ -310,7 +310,7 @@
 
     /**
      * Marks the request as completed and withdraws the attempts that are not written yet, because no endpoint needs to
-     * run them any more.
+     * execute them any more.
      */
     private void complete(RequestExchange exchange) {
         exchange.markCompleted();
--- a/src/main/java/loadbalancer/proxy/client/ResponseHandler.java
+++ b/src/main/java/loadbalancer/proxy/client/ResponseHandler.java
@@ -11,11 +11,11 @@
     void onServed(ByteBuf body);
 
     /**
-     * Called when the request was rejected; no endpoint has run it. If {@code retryAfterMicros} is 0, the response has
-     * no {@code Retry-After} header.
+     * Called when the request was rejected; no endpoint has executed it. If {@code retryAfterMicros} is 0, the response
+     * has no {@code Retry-After} header.
      */
     void onRejected(long retryAfterMicros);
 
-    /** Called when the request failed; an endpoint may have run an attempt of it. */
+    /** Called when the request failed; an endpoint may have executed it. */
     void onFailed();
 }
--- a/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
+++ b/src/main/java/loadbalancer/proxy/client/SidecarHttpServer.java
@@ -155,9 +155,9 @@
      * accepting once upstream connections have released file descriptors. Called every 100 ms by the sidecar's
      * maintenance task.
      */
-    public void closeStalledConnections() {
+    public void closeTimedOutConnections() {
         long nowMicros = clock.nowMicros();
-        connections.closeStalled(nowMicros);
+        connections.closeTimedOut(nowMicros);
         connections.evictIdleConnectionIfFull(nowMicros);
         updateAccepting();
     }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryWatch.java
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Returns whether any call has completed, successfully or not. The list is then as recent as possible. */
+    /** Returns whether any call has completed, successfully or not. Until then, discovery may have a newer list. */
     public boolean hasCompletedCall() {
         return cursor.hasCompletedCall();
     }
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -3,9 +3,9 @@
 import loadbalancer.proxy.observability.SidecarLog;
 
 /**
- * Reports why the event loop was late: the name and duration of its longest task, and for the threads of the process
- * that ran or waited longest how long they ran and how long they waited for a processor. To save time, the thread times
- * are read only for a report and when the period that a report covers begins. Confined to the event loop.
+ * Reports why the event loop was late: the name and duration of its longest task, and the threads of the process that
+ * ran or waited for a processor for the longest time, with both times. To save time, the thread times are read only for
+ * a report and when the period that a report covers begins. Confined to the event loop.
  */
 public final class EventLoopMonitor {
     /** The event loop is reported as late if its lag exceeds this time. */
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -15,7 +15,7 @@
 /**
  * A single-threaded event loop that records when it last read all of its sockets. If the loop is late, a client's
  * disconnect may still be unread in one socket while an event from another socket starts an attempt for that client.
- * Therefore an attempt is started only after a recent read of all sockets ({@link #runAfterPendingReads}). Waiting for
+ * Therefore an attempt is started only after a recent read of all sockets ({@link #runAfterRecentRead}). Waiting for
  * this read postpones the start by up to {@link #MAX_POSTPONEMENTS} iterations of the loop, but never blocks the loop.
  *
  * <p>{@link #clock}, {@link #nettyEventLoop} and {@link #shutDown} may be called from any thread, all other methods
@@ -48,7 +48,7 @@
     private final ArrayDeque<Runnable> pendingAttemptStarts = new ArrayDeque<>();
     private boolean attemptStartsScheduled;
     private int postponements;
-    /** When the last read of all sockets began, including the time for which the loop waited for data before it. */
+    /** When the last read of all sockets began. A read includes the time for which the loop waits for data. */
     private long lastReadMicros;
     /**
      * When the first timer of the current iteration was due, in nanoseconds of Netty's clock, or {@link #NO_DEADLINE}
@@ -87,7 +87,7 @@
      * still be unread. If the loop stays late, runs {@code attemptStart} after {@link #MAX_POSTPONEMENTS} postponements
      * in any case.
      */
-    public void runAfterPendingReads(Runnable attemptStart) {
+    public void runAfterRecentRead(Runnable attemptStart) {
         pendingAttemptStarts.add(attemptStart);
         if (!attemptStartsScheduled) {
             attemptStartsScheduled = true;
--- a/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/MaintenanceTask.java
@@ -12,8 +12,8 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
- * Runs on the event loop every 100 ms: measures how late the loop is and closes stalled client connections. Also logs
- * the traffic totals every 5 s. Confined to the event loop.
+ * Runs on the event loop every 100 ms: measures how late the loop is and closes client connections that have timed out.
+ * Also logs the traffic totals every 5 s. Confined to the event loop.
  */
 final class MaintenanceTask {
     private static final long INTERVAL_MILLIS = 100;
@@ -61,7 +61,7 @@
     private void run() {
         long nowMicros = clock.nowMicros();
         recordLag(nowMicros - previousRunMicros - INTERVAL_MILLIS * 1000);
-        httpServer.closeStalledConnections();
+        httpServer.closeTimedOutConnections();
         monitor.recordFinishedTask("stalled_connection_sweep", nowMicros);
         if (++runs % RUNS_PER_TOTALS_LINE == 0) {
             logTotals();
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -72,7 +72,7 @@
         clientConnectionsAccepted++;
     }
 
-    /** Counts an upstream connection that was begun, whether or not it gets established. */
+    /** Counts an upstream connection that is being opened, whether or not it gets established. */
     public void upstreamConnectionOpened() {
         upstreamConnectionsOpened++;
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamCall.java
@@ -10,9 +10,9 @@
 
 /**
  * One request to an endpoint, which ends with exactly one outcome. Until the last byte of the request is written, the
- * endpoint can't have run the request. Therefore most outcomes depend on whether the request has been written. Times
- * are in microseconds of the {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop of the
- * {@link UpstreamConnectionPool} that starts the call.
+ * endpoint can't have executed the request. Therefore most outcomes depend on whether the request has been written.
+ * Times are in microseconds of the {@link loadbalancer.proxy.eventloop.MonotonicClock}. Confined to the event loop of
+ * the {@link UpstreamConnectionPool} that starts the call.
  */
 public final class UpstreamCall {
     private enum Kind {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -85,11 +85,11 @@
     /**
      * Marks the connection as idle.
      *
-     * @param reusableAtMicros when the reuse delay ends; 0 if there is no delay
+     * @param reusableFromMicros when the reuse delay ends; 0 if there is no delay
      */
-    void becomeIdle(long nowMicros, long reusableAtMicros) {
+    void becomeIdle(long nowMicros, long reusableFromMicros) {
         idleSinceMicros = nowMicros;
-        reusableFromMicros = reusableAtMicros;
+        this.reusableFromMicros = reusableFromMicros;
     }
 
     long idleSinceMicros() {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -145,7 +145,7 @@
         call.start(
                 nowMicros, endpoint, nettyEventLoop.schedule(call::onDeadline, timeoutMicros, TimeUnit.MICROSECONDS));
         // Data that is still unread may end the call, change the state of its endpoint or close an idle connection.
-        eventLoop.runAfterPendingReads(() -> assignConnection(call));
+        eventLoop.runAfterRecentRead(() -> assignConnection(call));
     }
 
     private void assignConnection(UpstreamCall call) {
@@ -187,7 +187,7 @@
             } else if (!connected.isSuccess()) {
                 call.onConnectionLost();
             } else {
-                eventLoop.runAfterPendingReads(() -> writeIfSendable(call, channel));
+                eventLoop.runAfterRecentRead(() -> writeIfSendable(call, channel));
             }
         });
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
@@ -14,7 +14,7 @@
  * of the pool.
  */
 final class UpstreamConnector {
-    /** Is replaced by {@link #updateTimeouts} before the first connection is opened. */
+    /** Replaced by {@link #updateTimeouts} before the first connection is opened. */
     private static final int INITIAL_CONNECT_TIMEOUT_MILLIS = 1;
 
     private final Bootstrap bootstrap;
--- a/src/main/java/loadbalancer/settings/DeduplicationScope.java
+++ b/src/main/java/loadbalancer/settings/DeduplicationScope.java
@@ -1,8 +1,8 @@
 package loadbalancer.settings;
 
 /**
- * The set of endpoints that share one store of idempotency keys. If an attempt may have run, a retry is safe only on an
- * endpoint of the same scope, because only endpoints of that scope recognize the repeated key.
+ * The set of endpoints that share one store of idempotency keys. If an endpoint may have executed an attempt, a retry
+ * is safe only on an endpoint of the same scope, because only endpoints of that scope recognize the repeated key.
  */
 public enum DeduplicationScope {
     /** All endpoints share one store. */
--- a/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/settings/LoadBalancerSettings.java
@@ -23,7 +23,7 @@
  * @param overQuotaWeightRatio fraction of the priority weight that a request beyond its tenant's quota keeps; no rule
  *     uses this value
  * @param prices prices of the resources that the sidecars use
- * @param clockTickMicros shortest time between two calls of the decision module
+ * @param clockTickMicros shortest time between two calls to the decision module
  */
 public record LoadBalancerSettings(
         int sidecarIndex,
--- a/src/main/java/loadbalancer/settings/RequestClass.java
+++ b/src/main/java/loadbalancer/settings/RequestClass.java
@@ -4,11 +4,11 @@
  * Settings of a request class. Each request carries the name of its class.
  *
  * @param name name of the class, unique among the request classes
- * @param idempotency whether a request of this class may run more than once
+ * @param idempotency whether endpoints may execute a request of this class more than once
  * @param deduplicationScope set of endpoints that recognize a repeated idempotency key; used only with
  *     {@link Idempotency#IDEMPOTENT_WITH_KEY}
  * @param deduplicationWindowMicros time for which endpoints store an idempotency key, measured from the sending of the
- *     first attempt that may have run
+ *     first attempt that an endpoint may have executed
  * @param latencyObjectiveMicros latency objective; a response within this time counts with the full priority weight
  * @param latencyObjectiveWorkRatio if positive, this ratio times the work of the request is added to the latency
  *     objective
--- a/src/main/java/loadbalancer/settings/RequestLimits.java
+++ b/src/main/java/loadbalancer/settings/RequestLimits.java
@@ -11,7 +11,8 @@
  * @param gossip whether sidecars may send messages to one another
  * @param retryAfter whether rejections may carry a Retry-After time
  * @param maxRetryAfterMicros longest Retry-After time that clients honor
- * @param connectionIdleTimeoutMicros time after which a connection without a request is closed
+ * @param connectionIdleTimeoutMicros idle time after which an endpoint may close a connection; the sidecar stops using
+ *     the connection earlier
  * @param connectTimeoutMicros maximum time for opening a connection; delays an attempt that needs a new connection by
  *     at most this time
  * @param cpuMicrosPerRequest limit on the sidecar's processor time per request; 0 if there is no limit; no rule uses
--- a/src/main/java/loadbalancer/simulator/EndpointPages.java
+++ b/src/main/java/loadbalancer/simulator/EndpointPages.java
@@ -13,7 +13,6 @@
  */
 final class EndpointPages {
     private static final int PAGE_COUNT = 16;
-    private static final int UNKNOWN_CELL = -1;
 
     private final List<List<Endpoint>> pages = new ArrayList<>();
 
@@ -73,7 +72,7 @@
         String zone = fields.text();
         String id = fields.text();
         String machineType = fields.text();
-        int cell = (int) fields.integerOr(UNKNOWN_CELL);
+        int cell = (int) fields.integerOr(Endpoint.NO_CELL);
         long startedMicros = fields.integerOr(0);
         double weight = fields.decimalOr(1);
         return new Endpoint(
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -51,7 +51,7 @@
         fields.integerOr(0);
         int page = (int) fields.integerOr(NO_PAGE);
         List<Endpoint> endpoints = type == EndpointListType.FAILED ? List.of() : pages.get(page);
-        return (now, balancer) -> balancer.onEndpointList(now, type, endpoints);
+        return (nowMicros, loadBalancer) -> loadBalancer.onEndpointList(nowMicros, type, endpoints);
     }
 
     private static InstanceEvent request(FieldReader fields) {
@@ -65,7 +65,7 @@
         String requestClass = fields.text();
         Request request =
                 new Request(id, routingKey, retry, write, costHintMicros, remainingMicros, tenant, requestClass);
-        return (now, balancer) -> balancer.onRequest(now, request);
+        return (nowMicros, loadBalancer) -> loadBalancer.onRequest(nowMicros, request);
     }
 
     private static InstanceEvent attemptOutcome(FieldReader fields, List<String> loadReportFieldNames) {
@@ -78,7 +78,7 @@
         LoadReport loadReport = loadReport(fields.textOrNull(), loadReportFieldNames);
         AttemptResult result = new AttemptResult(
                 requestId, attemptNumber, endpointId, outcome, latencyMicros, requestDone, loadReport);
-        return (now, balancer) -> balancer.onAttemptOutcome(now, result);
+        return (nowMicros, loadBalancer) -> loadBalancer.onAttemptOutcome(nowMicros, result);
     }
 
     private static InstanceEvent streamStarted(FieldReader fields) {
@@ -86,7 +86,8 @@
         int attemptNumber = (int) fields.integer();
         long latencyMicros = fields.integerOr(0);
         String endpointId = fields.text();
-        return (now, balancer) -> balancer.onStreamStart(now, requestId, attemptNumber, endpointId, latencyMicros);
+        return (nowMicros, loadBalancer) ->
+                loadBalancer.onStreamStart(nowMicros, requestId, attemptNumber, endpointId, latencyMicros);
     }
 
     private static InstanceEvent healthCheckOutcome(FieldReader fields, List<String> loadReportFieldNames) {
@@ -94,23 +95,24 @@
         AttemptOutcome outcome = WireNames.attemptOutcome(fields.text());
         long latencyMicros = fields.integerOr(0);
         LoadReport loadReport = loadReport(fields.textOrNull(), loadReportFieldNames);
-        return (now, balancer) -> balancer.onHealthCheck(now, endpointId, outcome, latencyMicros, loadReport);
+        return (nowMicros, loadBalancer) ->
+                loadBalancer.onHealthCheck(nowMicros, endpointId, outcome, latencyMicros, loadReport);
     }
 
     private static InstanceEvent requestExpired(FieldReader fields) {
         String requestId = fields.text();
-        return (now, balancer) -> balancer.onRequestExpired(now, requestId);
+        return (nowMicros, loadBalancer) -> loadBalancer.onRequestExpired(nowMicros, requestId);
     }
 
     private static InstanceEvent gossipReceived(FieldReader fields) {
         int sidecarIndex = (int) fields.integer();
         byte[] message = bytes(fields.textOrNull());
-        return (now, balancer) -> balancer.onGossip(now, sidecarIndex, message);
+        return (nowMicros, loadBalancer) -> loadBalancer.onGossip(nowMicros, sidecarIndex, message);
     }
 
     private static InstanceEvent timerFired(FieldReader fields) {
         String timerName = fields.text();
-        return (now, balancer) -> balancer.onTimer(now, timerName);
+        return (nowMicros, loadBalancer) -> loadBalancer.onTimer(nowMicros, timerName);
     }
 
     private static byte[] bytes(String base64) {
--- a/src/main/java/loadbalancer/simulator/SimulatorHost.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorHost.java
@@ -39,7 +39,7 @@
     private boolean moduleFailed;
 
     /** A hosted decision module and the names of the values in load reports to it, in the order of the values. */
-    private record Instance(LoadBalancer balancer, List<String> loadReportFieldNames) {}
+    private record Instance(LoadBalancer loadBalancer, List<String> loadReportFieldNames) {}
 
     /**
      * @param input batches of events in UTF-8
@@ -123,8 +123,8 @@
         LoadBalancerSettings settings = reader.read();
         callModule(instanceName, () -> {
             ReplyWriter actions = new ReplyWriter(instanceName, reply);
-            LoadBalancer balancer = new LoadBalancingPolicy(settings, seed, nowMicros, actions);
-            instances.put(instanceName, new Instance(balancer, reader.loadReportFieldNames()));
+            LoadBalancer loadBalancer = new LoadBalancingPolicy(settings, seed, nowMicros, actions);
+            instances.put(instanceName, new Instance(loadBalancer, reader.loadReportFieldNames()));
         });
     }
 
@@ -135,7 +135,7 @@
                     "'" + messageName + "' for instance '" + instanceName + "', which has not started");
         }
         InstanceEvent event = decoder.decode(messageName, fields, instance.loadReportFieldNames);
-        callModule(instanceName, () -> event.report(nowMicros, instance.balancer));
+        callModule(instanceName, () -> event.report(nowMicros, instance.loadBalancer));
     }
 
     /** Calls a decision module and reports any exception in the reply; does nothing once any module has thrown. */
--- a/src/test/java/loadbalancer/proxy/upstream/IdleConnectionsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/IdleConnectionsTest.java
@@ -17,9 +17,9 @@
 
     private final IdleConnections connections = new IdleConnections();
 
-    private UpstreamConnection add(long idleSinceMicros, long reusableAtMicros) {
+    private UpstreamConnection add(long idleSinceMicros, long reusableFromMicros) {
         UpstreamConnection connection = UpstreamConnection.install(new EmbeddedChannel(), STALL_TIMEOUT_MICROS);
-        connection.becomeIdle(idleSinceMicros, reusableAtMicros);
+        connection.becomeIdle(idleSinceMicros, reusableFromMicros);
         connections.add(connection);
         return connection;
     }
