--- a/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/AttemptOutcomeHandler.java
@@ -44,7 +44,7 @@
         }
         endAttempt(nowMicros, attempt, result);
         finishOrRetry(nowMicros, request, result);
-        scheduler.dispatch(nowMicros);
+        scheduler.sendQueuedRequests(nowMicros);
         reportHandler.clearReportingEndpoint();
     }
 
@@ -59,7 +59,7 @@
     }
 
     private void finishOrRetry(long nowMicros, PendingRequest request, AttemptResult result) {
-        if (result.requestDone() || request.isFinished()) {
+        if (result.requestFinished() || request.isFinished()) {
             requests.finish(request);
         } else if (result.outcome() == AttemptOutcome.INVALID_REQUEST) {
             requests.fail(request);
--- a/src/main/java/loadbalancer/decision/AttemptResult.java
+++ b/src/main/java/loadbalancer/decision/AttemptResult.java
@@ -7,8 +7,8 @@
  * @param attemptNumber number of the attempt within its request, from 0
  * @param endpointId id of the endpoint that the attempt was sent to
  * @param latencyMicros time from sending the attempt to its outcome
- * @param requestDone whether the request needs no further attempt and no other final response, because of this outcome
- *     or already before it
+ * @param requestFinished whether the request needs no further attempt and no other final response, because of this
+ *     outcome or already before it
  * @param loadReport the load report in the response, or null if there was none
  */
 public record AttemptResult(
@@ -17,5 +17,5 @@
         String endpointId,
         AttemptOutcome outcome,
         long latencyMicros,
-        boolean requestDone,
+        boolean requestFinished,
         LoadReport loadReport) {}
--- a/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
+++ b/src/main/java/loadbalancer/decision/HealthCheckOutcomeHandler.java
@@ -1,8 +1,6 @@
 package loadbalancer.decision;
 
-/**
- * Handles the outcomes of health checks: updates the health and load of the endpoint, then dispatches queued requests.
- */
+/** Handles the outcomes of health checks: updates the health and load of the endpoint, then sends queued requests. */
 final class HealthCheckOutcomeHandler {
     private final EndpointRegistry registry;
     private final HealthChecks healthChecks;
@@ -43,7 +41,7 @@
             loads.assumeFull(endpoint, nowMicros);
         }
         reportHandler.onReport(endpointId, report, nowMicros);
-        scheduler.dispatch(nowMicros);
+        scheduler.sendQueuedRequests(nowMicros);
         reportHandler.clearReportingEndpoint();
     }
 
--- a/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingPolicy.java
@@ -89,7 +89,7 @@
         endpoints.updateReady();
         routingRefresher.invalidate(nowMicros);
         subset.invalidate(nowMicros);
-        scheduler.dispatch(nowMicros);
+        scheduler.sendQueuedRequests(nowMicros);
     }
 
     @Override
--- a/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
+++ b/src/main/java/loadbalancer/decision/MachineTypeEstimate.java
@@ -6,8 +6,8 @@
  */
 final class MachineTypeEstimate {
     /**
-     * Number of responses from which on the weight of the estimates in gossip no longer grows and the minimum speed
-     * factor no longer follows every change.
+     * From this number of responses on, the weight of the estimates in gossip no longer grows, and the minimum speed
+     * factor no longer follows every change of the speed factor.
      */
     private static final int MAX_RESPONSES = 40;
     /**
--- a/src/main/java/loadbalancer/decision/RequestScheduler.java
+++ b/src/main/java/loadbalancer/decision/RequestScheduler.java
@@ -83,7 +83,7 @@
      * Sends queued requests in order, and rejects or fails those that find no endpoint and are too late. Stops at the
      * first other request that finds no endpoint, unless the cause may be specific to that request.
      */
-    void dispatch(long nowMicros) {
+    void sendQueuedRequests(long nowMicros) {
         boolean capacityLeft = true;
         for (int i = 0; i < queue.size() && capacityLeft; i++) {
             PendingRequest request = queue.get(i);
--- a/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/client/GracefulShutdown.java
@@ -29,9 +29,9 @@
      */
     private static final long MAX_LISTENING_AFTER_SERVING_MICROS = 1_000_000;
     /**
-     * The last response must be written within this time, plus the longest deadline of a request class but at most
-     * {@link #MAX_COUNTED_DEADLINE_MICROS}, after the shutdown is requested. The process is killed 100 ms later, that
-     * is, after 700 ms plus the deadline; the 100 ms let the last response reach its client.
+     * The time from the request for a shutdown until the last response must be written is this time plus the longest
+     * deadline of a request class, of which at most {@link #MAX_COUNTED_DEADLINE_MICROS} counts. The process is killed
+     * 100 ms later, that is, after 700 ms plus the deadline; the 100 ms let the last response reach its client.
      */
     private static final long BASE_RESPONSE_TIME_MICROS = 600_000;
 
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
@@ -5,9 +5,9 @@
  * missed changes 6 s after discovery stopped responding or 2 s after the end of the wait that the call asked for,
  * whichever is earlier. A short wait and a short margin leave most of that time for further calls.
  *
- * <p>Any other call is an immediate call: the discovery agent, which runs on this machine, answers it at once. The
- * timeout of immediate calls doubles with each consecutive failure, at most twice, because a long list may reach a busy
- * sidecar slowly.
+ * <p>Any other call is an immediate call: discovery, whose agent runs on this machine, answers it at once. The timeout
+ * of immediate calls doubles with each consecutive failure, at most twice, because a long list may reach a busy sidecar
+ * slowly.
  *
  * @param longPollWaitMillis how long discovery may delay the response to a long poll
  * @param longPollMarginMillis how long after that delay the response to a long poll may arrive
--- a/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ReadTrackingEventLoop.java
@@ -14,7 +14,7 @@
 
 /**
  * A single-threaded event loop that records when it last read all of its sockets. If the loop is late, a client's
- * disconnect may still be unread in one socket while an event from another socket starts an attempt for that client.
+ * disconnection may still be unread in one socket while an event from another socket starts an attempt for that client.
  * Therefore an attempt is started only after a recent read of all sockets ({@link #runAfterRecentRead}). Waiting for
  * this read postpones the start by up to {@link #MAX_POSTPONEMENTS} iterations of the loop, but never blocks the loop.
  *
--- a/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/protocol/EndpointList.java
@@ -51,22 +51,22 @@
 
     private static EndpointList readList(JsonObject json) {
         List<Entry> entries = new ArrayList<>();
-        for (JsonObject instance : json.objects("instances")) {
-            entries.add(new Entry(readEndpoint(instance), parseAddress(instance.string("hostPort"))));
+        for (JsonObject entry : json.objects("instances")) {
+            entries.add(new Entry(readEndpoint(entry), parseAddress(entry.string("hostPort"))));
         }
         return new EndpointList(json.integer("generation"), json.flag("reset"), entries);
     }
 
-    private static Endpoint readEndpoint(JsonObject instance) {
+    private static Endpoint readEndpoint(JsonObject entry) {
         // Start times are Unix times, in milliseconds on the wire and in microseconds in the load balancer.
         return new Endpoint(
-                instance.string("instanceId"),
-                instance.stringOr("zone", ""),
-                instance.stringOr("machineType", ""),
-                (int) instance.integerOr("cell", Endpoint.NO_CELL),
-                instance.integerOr("startedAtMs", 0) * MICROS_PER_MILLI,
-                instance.decimalOr("weight", DEFAULT_WEIGHT),
-                parseState(instance.string("lifecycle")));
+                entry.string("instanceId"),
+                entry.stringOr("zone", ""),
+                entry.stringOr("machineType", ""),
+                (int) entry.integerOr("cell", Endpoint.NO_CELL),
+                entry.integerOr("startedAtMs", 0) * MICROS_PER_MILLI,
+                entry.decimalOr("weight", DEFAULT_WEIGHT),
+                parseState(entry.string("lifecycle")));
     }
 
     private static EndpointState parseState(String lifecycle) {
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -74,10 +74,10 @@
         String endpointId = fields.text();
         AttemptOutcome outcome = WireNames.attemptOutcome(fields.text());
         long latencyMicros = fields.integerOr(0);
-        boolean requestDone = fields.flag();
+        boolean requestFinished = fields.flag();
         LoadReport loadReport = loadReport(fields.textOrNull(), loadReportFieldNames);
         AttemptResult result = new AttemptResult(
-                requestId, attemptNumber, endpointId, outcome, latencyMicros, requestDone, loadReport);
+                requestId, attemptNumber, endpointId, outcome, latencyMicros, requestFinished, loadReport);
         return (nowMicros, loadBalancer) -> loadBalancer.onAttemptOutcome(nowMicros, result);
     }
 
--- a/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
+++ b/src/test/java/loadbalancer/decision/AttemptEligibilityTest.java
@@ -81,15 +81,15 @@
                 .advanceMicros(10_000)
                 .outcome("r", 0, afterWindow.endpointOf("r", 0), AttemptOutcome.ERROR, 10_000);
         assertNull(afterWindow.endpointOf("r", 1));
-        // The request may have run, and no endpoint would deduplicate a retry any more. It must not be rejected either,
-        // because a rejection promises that no endpoint has executed the request.
+        // An endpoint may have executed the request, and no endpoint would deduplicate a retry any more. It must not be
+        // rejected either, because a rejection promises that no endpoint has executed the request.
         assertEquals(1, afterWindow.failureCount("r"));
         assertTrue(afterWindow.rejectedRequests().isEmpty());
     }
 
     /**
      * A retry must arrive within the deduplication window, and it arrives later than it is sent if it needs a new
-     * connection. A retry that is sent within the window but arrives after it could run a second time.
+     * connection. A retry that is sent within the window but arrives after it could be executed a second time.
      */
     @Test
     void retriesOnlyIfDeduplicationWindowLeavesTimeToConnect() {
--- a/src/test/java/loadbalancer/decision/FinalResponseTest.java
+++ b/src/test/java/loadbalancer/decision/FinalResponseTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void doesNotRetryOrRespondAfterClientHasLeft() {
+    void doesNotRetryOrRespondAfterClientHasDisconnected() {
         PolicyFixture fixture = new PolicyFixture().start().receiveFullSnapshot(A, B);
         fixture.request("r");
         fixture.expire("r");
--- a/src/test/java/loadbalancer/decision/HedgingPolicyTest.java
+++ b/src/test/java/loadbalancer/decision/HedgingPolicyTest.java
@@ -26,7 +26,7 @@
 
     /**
      * An endpoint that does not reply to the health check for an overdue attempt has probably stalled; only then is the
-     * request hedged. A request that is not idempotent is never hedged, because it could run twice.
+     * request hedged. A request that is not idempotent is never hedged, because it could be executed twice.
      */
     @Test
     void hedgesOverdueAttemptOnlyIfEndpointIsUnresponsive() {
--- a/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/client/ClientDisconnectTest.java
@@ -217,8 +217,8 @@
         };
         StubServer secondEndpoint = fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", ""));
         routeWarmUpToSecondEndpoint();
-        fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
-            if (!requestDone) {
+        fixture.onOutcome = (requestId, outcome, requestFinished, actions) -> {
+            if (!requestFinished) {
                 actions.sendAttempt(requestId, "u1", 0);
             }
         };
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -79,7 +79,7 @@
 
     private static String describeResult(Object argument) {
         return argument instanceof AttemptResult result
-                ? " " + result.requestId() + " " + result.outcome() + " " + result.requestDone()
+                ? " " + result.requestId() + " " + result.outcome() + " " + result.requestFinished()
                 : "";
     }
 
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -83,7 +83,7 @@
             try (StubServer.Client client = fixture.client()) {
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a1", 20_000));
                 fixture.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
-                fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
+                fixture.onOutcome = (requestId, outcome, requestFinished, actions) -> {
                     throw new IllegalStateException("thrown by the test");
                 };
                 assertStatus(502, client, SidecarFixture.idempotentRequest("a2", 20_000));
@@ -134,7 +134,7 @@
             fixture.addEndpoint((request, connection) -> unanswered.add(connection));
             fixture.addEndpoint((request, connection) -> connection.respond("200 OK", "", "second"));
             fixture.onRequest = (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
-            fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {};
+            fixture.onOutcome = (requestId, outcome, requestFinished, actions) -> {};
             fixture.start();
             try (StubServer.Client client = fixture.client()) {
                 client.send(SidecarFixture.idempotentRequest("a1", 20_000));
@@ -159,7 +159,7 @@
     void sendsNoAttemptBeyondMaximum() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
             StubServer endpoint = fixture.addEndpoint((request, connection) -> connection.respond("500 No", "", ""));
-            fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
+            fixture.onOutcome = (requestId, outcome, requestFinished, actions) -> {
                 if (outcome == AttemptOutcome.NOT_SENT) {
                     actions.fail(requestId);
                 } else {
--- a/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
+++ b/src/test/java/loadbalancer/proxy/gossip/GossipTransportTest.java
@@ -60,8 +60,8 @@
             peer.send(new DatagramPacket(new byte[257], 257, sidecarAddress));
             peer.send(new DatagramPacket(new byte[0], 0, sidecarAddress));
             peer.send(new DatagramPacket(new byte[256], 256, sidecarAddress));
-            assertEquals("peer 1 0", fixture.awaitEvent("peer"));
-            assertEquals("peer 1 256", fixture.awaitEvent("peer"));
+            assertEquals("gossip 1 0", fixture.awaitEvent("gossip"));
+            assertEquals("gossip 1 256", fixture.awaitEvent("gossip"));
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ConfigurationReloadTest.java
@@ -62,10 +62,10 @@
     }
 
     private static void retryUntilNotSent(SidecarFixture fixture) {
-        fixture.onOutcome = (requestId, outcome, requestDone, actions) -> {
+        fixture.onOutcome = (requestId, outcome, requestFinished, actions) -> {
             if (outcome == AttemptOutcome.NOT_SENT) {
                 actions.fail(requestId);
-            } else if (!requestDone) {
+            } else if (!requestFinished) {
                 actions.sendAttempt(requestId, "u0", 0);
             }
         };
--- a/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
+++ b/src/test/java/loadbalancer/proxy/testing/RecordingLoadBalancer.java
@@ -63,8 +63,8 @@
     public void onAttemptOutcome(long nowMicros, AttemptResult result) {
         LoadReport report = result.loadReport();
         record("outcome " + result.requestId() + " " + result.attemptNumber() + " " + result.outcome() + " "
-                + result.requestDone() + " " + (report == null ? "-" : report.inFlight()));
-        fixture.onOutcome.handle(result.requestId(), result.outcome(), result.requestDone(), actions);
+                + result.requestFinished() + " " + (report == null ? "-" : report.inFlight()));
+        fixture.onOutcome.handle(result.requestId(), result.outcome(), result.requestFinished(), actions);
     }
 
     @Override
@@ -74,7 +74,7 @@
     @Override
     public void onHealthCheck(
             long nowMicros, String endpointId, AttemptOutcome outcome, long latencyMicros, LoadReport report) {
-        record("probe " + endpointId + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
+        record("health_check " + endpointId + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
     }
 
     @Override
@@ -84,7 +84,7 @@
 
     @Override
     public void onGossip(long nowMicros, int sidecarIndex, byte[] message) {
-        record("peer " + sidecarIndex + " " + message.length);
+        record("gossip " + sidecarIndex + " " + message.length);
     }
 
     @Override
--- a/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
+++ b/src/test/java/loadbalancer/proxy/testing/SidecarFixture.java
@@ -52,7 +52,7 @@
 
     /** Decides which actions the load balancer takes on the outcome of an attempt; called on the event loop. */
     public interface OutcomeCallback {
-        void handle(String requestId, AttemptOutcome outcome, boolean requestDone, LoadBalancerActions actions);
+        void handle(String requestId, AttemptOutcome outcome, boolean requestFinished, LoadBalancerActions actions);
     }
 
     /**
@@ -68,8 +68,8 @@
     public volatile RequestCallback onRequest =
             (nowMicros, request, actions) -> actions.sendAttempt(request.id(), "u0", 0);
     /** By default, fails a request whose attempt did not complete it. */
-    public volatile OutcomeCallback onOutcome = (requestId, outcome, requestDone, actions) -> {
-        if (!requestDone) {
+    public volatile OutcomeCallback onOutcome = (requestId, outcome, requestFinished, actions) -> {
+        if (!requestFinished) {
             actions.fail(requestId);
         }
     };
@@ -99,7 +99,7 @@
 
     /**
      * Creates a fixture whose discovery reports no changes: it answers a watch with an empty delta after the wait that
-     * the request states, and does not answer a request for the full list.
+     * the request states, and does not answer a request for a full snapshot.
      */
     public SidecarFixture() throws IOException {
         this((request, connection) -> {
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamEndpointsTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamEndpointsTest.java
@@ -20,7 +20,7 @@
 
     private static EndpointList.Entry entry(String id, int port, long startedMicros, EndpointState state) {
         return new EndpointList.Entry(
-                new Endpoint(id, "", "", -1, startedMicros, 1, state),
+                new Endpoint(id, "", "", Endpoint.NO_CELL, startedMicros, 1, state),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
