--- a/src/main/java/loadbalancer/decision/EndpointSubset.java
+++ b/src/main/java/loadbalancer/decision/EndpointSubset.java
@@ -118,7 +118,8 @@
         if (!idleConnections.hasLimit()) {
             return targetSize;
         }
-        // Select no more endpoints than can each be sent two requests within the idle limit.
+        // Select no more endpoints than can each be sent two requests within the idle limit. The first product is in
+        // millionths of a request, because the rate is per second and the limit in microseconds.
         double microRequestsInLimit = rates.localPerSecond() * idleConnections.limitMicros();
         double maxSize = Math.max(1, microRequestsInLimit / (2 * RateMath.MICROS_PER_SECOND));
         return Math.min(maxSize, targetSize);
--- a/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
+++ b/src/main/java/loadbalancer/proxy/observability/TrafficStatistics.java
@@ -45,7 +45,7 @@
         countsOf(requestClass).rejected++;
     }
 
-    /** Counts a request that was completed with an error, and that an endpoint may have executed. */
+    /** Counts a request that was completed with an error, which does not state whether an endpoint has executed it. */
     public void requestFailed() {
         failedRequests++;
     }
