--- a/src/main/java/loadbalancer/decision/LoadBalancerActions.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancerActions.java
@@ -9,8 +9,8 @@
     int ALL_SIDECARS = -1;
 
     /**
-     * Forwards the request to the endpoint; the attempt times out at {@code deadlineMicros}. The attempts of a request
-     * are numbered from 0 in the order of these calls.
+     * Forwards the request to the endpoint; the attempt times out at {@code deadlineMicros}, or at the deadline of the
+     * request if that is earlier. The attempts of a request are numbered from 0 in the order of these calls.
      */
     void sendAttempt(String requestId, String endpointId, long deadlineMicros);
 
--- a/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/client/ConnectionLimits.java
@@ -7,6 +7,7 @@
  *
  * @param maxConnections maximum number of open connections; further ones wait in the accept backlog
  * @param maxIdleConnections maximum number of connections that are kept open between two requests
- * @param descriptorAvailable whether there is a file descriptor for one more connection; called on the event loop
+ * @param descriptorAvailable returns whether there is a file descriptor for one more connection, and may close an idle
+ *     upstream connection to free one; called on the event loop
  */
 public record ConnectionLimits(int maxConnections, int maxIdleConnections, BooleanSupplier descriptorAvailable) {}
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -63,7 +63,7 @@
     DiscoveryClient(EventLoop loop, Listener listener) {
         this.loop = loop;
         this.listener = listener;
-        bootstrap = ClientBootstraps.http(loop, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, ResponseHandler::new);
+        bootstrap = ClientBootstraps.http(loop, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, ConnectionHandler::new);
     }
 
     boolean hasCallInFlight() {
@@ -163,7 +163,7 @@
      * Handles the events of the current connection while a call is in flight. A response on another connection, or
      * without a call in flight, closes its connection.
      */
-    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             if (callInFlight != null && context.channel() == channel) {
--- a/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartBudgetTest.java
@@ -12,7 +12,11 @@
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints in slow start get requests, and all sidecars together stay within the reduced capacity. */
+/**
+ * Endpoints in slow start get requests, and all sidecars together stay within the reduced capacity. The budgets are
+ * computed from the rules of {@link PolicyFixture}: 3 times the capacity in a window of 1 s, and a capacity ratio that
+ * increases from 0.13 to 1 within 24 s.
+ */
 class SlowStartBudgetTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
--- a/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestDispatcherTest.java
@@ -41,21 +41,22 @@
     private final EventLoop loop = eventLoop.nettyEventLoop();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private RequestDispatcher dispatcher;
-    private UpstreamConnectionPool upstreams;
+    private UpstreamConnectionPool upstreamPool;
 
     @BeforeEach
     void createDispatcher() throws Exception {
         loop.submit(() -> {
-                    LoadBalancerExecutor loadBalancer = new LoadBalancerExecutor(clock, new EventLoopMonitor(clock));
-                    loadBalancer.start(actions -> recordingLoadBalancer(), null);
-                    upstreams = new UpstreamConnectionPool(
+                    LoadBalancerExecutor loadBalancerExecutor =
+                            new LoadBalancerExecutor(clock, new EventLoopMonitor(clock));
+                    loadBalancerExecutor.start(actions -> recordingLoadBalancer(), null);
+                    upstreamPool = new UpstreamConnectionPool(
                             eventLoop,
                             new UpstreamTimeouts(15_000_000, 2_000_000, 20_000),
                             0,
                             () -> 100,
                             new TrafficStatistics());
-                    dispatcher =
-                            new RequestDispatcher(loop, clock, loadBalancer, upstreams, 4, new TrafficStatistics());
+                    dispatcher = new RequestDispatcher(
+                            loop, clock, loadBalancerExecutor, upstreamPool, 4, new TrafficStatistics());
                 })
                 .sync();
     }
@@ -85,7 +86,7 @@
 
     private RequestExchange exchange(String id) {
         return new RequestExchange(
-                new Request(id, -1, false, false, 0, 20_000_000, "t", "c"),
+                new Request(id, Request.NO_ROUTING_KEY, false, false, 0, 20_000_000, "t", "c"),
                 new RequestPayload(HttpMethod.GET, "/api", null, new byte[0]),
                 clock.nowMicros() + 20_000_000,
                 new ResponseHandler() {
@@ -119,7 +120,7 @@
     private void setEndpoint(String id, StubServer server) throws Exception {
         String list =
                 SidecarFixture.endpointListJson(1, true, SidecarFixture.endpointJson(id, server.address(), "Ready", 0));
-        loop.submit(() -> upstreams.updateEndpoints(
+        loop.submit(() -> upstreamPool.updateEndpoints(
                         EndpointList.parse(JsonObject.parse(list.getBytes(StandardCharsets.UTF_8)))))
                 .sync();
     }
