--- a/src/main/java/loadbalancer/decision/GossipReceiver.java
+++ b/src/main/java/loadbalancer/decision/GossipReceiver.java
@@ -56,7 +56,7 @@
 
     /**
      * Limits the requests in flight to one more than can have arrived within the longest deadline, since a sidecar
-     * cannot have more.
+     * can't have more.
      */
     private double plausibleInFlight(double inFlight, double ratePerSecond) {
         return Math.min(inFlight, 1 + ratePerSecond * settings.longestDeadlineMicros() / RateMath.MICROS_PER_SECOND);
--- a/src/main/java/loadbalancer/decision/RequestTracker.java
+++ b/src/main/java/loadbalancer/decision/RequestTracker.java
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Sends the final response of a request that cannot be served in time: rejects it if no endpoint can have executed
+     * Sends the final response of a request that can't be served in time: rejects it if no endpoint can have executed
      * it, else fails it. Does nothing if it is finished.
      */
     void rejectOrFail(PendingRequest request) {
--- a/src/main/java/loadbalancer/decision/SampledLoadSelector.java
+++ b/src/main/java/loadbalancer/decision/SampledLoadSelector.java
@@ -192,7 +192,7 @@
     }
 
     /**
-     * Returns the less loaded of two endpoints, each of which may be null. Ignores an endpoint that cannot take the
+     * Returns the less loaded of two endpoints, each of which may be null. Ignores an endpoint that can't take the
      * request; returns null if neither can.
      */
     private TrackedEndpoint lessLoaded(
--- a/src/main/java/loadbalancer/proxy/client/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/client/ClientConnection.java
@@ -24,7 +24,7 @@
  * One connection of a client. Handles the requests one at a time, in the order in which they were received, and writes
  * one response to each. It is the last handler in the pipeline of its channel. Confined to the event loop.
  *
- * <p>For input that cannot be decoded as a request, an error response is written after the responses that are still
+ * <p>For input that can't be decoded as a request, an error response is written after the responses that are still
  * pending; then the connection closes. A client that closes the connection, or only its sending side, counts as
  * disconnected: its request ends without a response.
  */
--- a/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
+++ b/src/main/java/loadbalancer/proxy/client/RequestAggregator.java
@@ -18,7 +18,7 @@
  * Aggregates requests with bodies of up to {@link ProtocolConstants#MAX_REQUEST_BODY_BYTES}. Writes status 100
  * (continue) to a client that expects it, and status 417 (expectation failed) to one with an unknown expectation, whose
  * request is dropped. Writes neither while a response to an earlier request is pending, because it would be sent before
- * that response. For a request that cannot be aggregated, an exception is passed along the pipeline:
+ * that response. For a request that can't be aggregated, an exception is passed along the pipeline:
  * {@link TooLongFrameException} or {@link CorruptedFrameException}.
  */
 final class RequestAggregator extends HttpObjectAggregator {
--- a/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ClientBootstraps.java
@@ -13,7 +13,7 @@
 import java.util.function.Supplier;
 
 /**
- * Creates Netty bootstraps for outgoing connections. Addresses must be resolved already, because the bootstraps don't
+ * Creates Netty bootstraps for outgoing connections. Addresses must be resolved already, because the bootstraps do not
  * look up host names. Stateless.
  */
 public final class ClientBootstraps {
--- a/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/ThreadTimes.java
@@ -13,8 +13,8 @@
 
 /**
  * A reading of how long each thread of this process has run and has waited for a processor. Linux reports both times in
- * {@code /proc/self/task/ID/schedstat}; if there are no such files, the reading is empty. The JDK's management beans
- * don't report the waiting time, and loading them takes more than a tenth of the startup time.
+ * {@code /proc/self/task/ID/schedstat}; if there are no such files, the reading is empty. The JDK's management beans do
+ * not report the waiting time, and loading them takes more than a tenth of the startup time.
  */
 final class ThreadTimes {
     private static final File THREAD_DIRECTORY = new File("/proc/self/task");
@@ -34,7 +34,7 @@
     }
 
     private final Map<String, CpuTimes> timesByThreadId = new HashMap<>();
-    /** Thread names by thread id, shared by successive readings because threads don't change their names. */
+    /** Thread names by thread id, shared by successive readings because threads do not change their names. */
     private final Map<String, String> namesByThreadId;
 
     private ThreadTimes(Map<String, String> namesByThreadId) {
--- a/src/test/java/loadbalancer/decision/AdmissionControlTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionControlTest.java
@@ -7,7 +7,7 @@
 import loadbalancer.settings.LoadReporting;
 import org.junit.jupiter.api.Test;
 
-/** Tests that requests are shed if, and only if, the fleet cannot serve them within the latency objective. */
+/** Tests that requests are shed if, and only if, the fleet can't serve them within the latency objective. */
 class AdmissionControlTest {
     private static final Endpoint A = PolicyFixture.endpoint("a", "za", 1);
     private static final Endpoint B = PolicyFixture.endpoint("b", "zb", 2);
--- a/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/proxy/client/RequestLifecycleTest.java
@@ -110,7 +110,7 @@
         }
     }
 
-    /** A half-closed connection counts as closed, because the sidecar cannot distinguish the two in time. */
+    /** A half-closed connection counts as closed, because the sidecar can't distinguish the two in time. */
     @Test
     void treatsHalfClosedConnectionAsDisconnected() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture()) {
