--- a/src/main/java/loadbalancer/decision/LoadEstimator.java
+++ b/src/main/java/loadbalancer/decision/LoadEstimator.java
@@ -73,9 +73,9 @@
         if (oldest == null || endpoint.reportedLoad.lostAttempts != 0) {
             return 0;
         }
-        double overdueRatio =
+        double stallExcessRatio =
                 (nowMicros - oldest.sentMicros()) / oldest.forecast().responseMicros() - STALL_RATIO;
-        return overdueRatio > 0 ? overdueRatio * endpoint.machineType().cores() : 0;
+        return stallExcessRatio > 0 ? stallExcessRatio * endpoint.machineType().cores() : 0;
     }
 
     /** Handles a load report. Counts overdue attempts that the endpoint does not hold as lost on their connections. */
