--- a/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTimeouts.java
@@ -1,9 +1,10 @@
 package loadbalancer.proxy.discovery;
 
 /**
- * Timeouts of calls to discovery. If discovery stops responding during a long poll, the sidecar is expected to know the
- * missed changes 6 s after discovery stopped responding or 2 s after the end of the wait that the call asked for,
- * whichever is earlier. A short wait and a short margin leave most of that time for further calls.
+ * Timeouts of calls to discovery. The sidecar is expected to know missed changes 6 s after discovery stopped
+ * responding; for a long poll, 2 s after the end of the wait that the call asked for, if that is later (the timeouts
+ * keep to the earlier of the two times, which is stricter). A short wait and a short margin leave most of that time for
+ * further calls.
  *
  * <p>Any other call is an immediate call: discovery, whose agent runs on this machine, answers it at once. The timeout
  * of immediate calls doubles with each consecutive failure, at most twice, because a long list may reach a busy sidecar
